--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -8,7 +8,7 @@
     SharedGroupLoad,
 };
 use dockwood_grouping::{
-    ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderBook, OrderKind, PlaceLedger,
+    ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker, PlaceLedger,
     ProbeResult, Scrutiny, View, advance_groups, places_of_group, plan, plan_pause_ms, reap_instances,
     release_members, replace_slow_members, scrutiny_pause_ms,
 };
@@ -49,7 +49,7 @@
     observations: Observations,
     places: PlaceLedger,
     dispatcher: Dispatcher,
-    orders: OrderBook,
+    orders: OrderTracker,
     /// Members that left an order to join unanswered, to be asked whether they are alive.
     unanswered: BTreeSet<String>,
     successors: Successors,
--- a/crates/grouping/src/lib.rs
+++ b/crates/grouping/src/lib.rs
@@ -44,7 +44,7 @@
 pub use instances::{InstanceObservation, ProbeResult, UnansweredJoin};
 pub use lifecycle::{Scrutiny, advance_groups, reap_instances, release_members, scrutiny_pause_ms};
 pub use observations::Observations;
-pub use orders::{OrderBook, OrderKind};
+pub use orders::{OrderKind, OrderTracker};
 pub use places::{GroupPlaces, PlaceLedger};
 pub use plan::{Plan, plan, plan_pause_ms};
 pub use scope::ScopeDispatch;
--- a/crates/grouping/src/orders.rs
+++ b/crates/grouping/src/orders.rs
@@ -94,7 +94,7 @@
 /// Open groups require no orders, so only the others are examined: those that have changed, and all of them
 /// once per [`SWEEP_INTERVAL_MS`] for effects that only depend on time.
 #[derive(Clone, Debug, Default)]
-pub struct OrderBook {
+pub struct OrderTracker {
     /// The groups as of the last call.
     known_groups: OrdMap<u64, Arc<GroupRow>>,
     /// Orders of the groups that are not open.
@@ -114,7 +114,7 @@
     load_starts: VecDeque<Millis>,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Returns the orders to send now.
     pub fn to_send(&mut self, view: &View<'_>, fence: u64) -> Vec<GroupOrder> {
         self.track_groups(view);
--- a/crates/grouping/tests/common/fleet.rs
+++ b/crates/grouping/tests/common/fleet.rs
@@ -7,7 +7,7 @@
     MembershipState, ModelProfile, OrderAnswer,
 };
 use dockwood_grouping::{
-    OrderBook, ProbeResult, Scrutiny, advance_groups, plan, reap_instances, release_members,
+    OrderTracker, ProbeResult, Scrutiny, advance_groups, plan, reap_instances, release_members,
 };
 use dockwood_state::{GatewayCommand, GroupPhase, GroupPurpose, InstanceRow};
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
 pub struct Fleet {
     cluster: TestCluster,
     engine: EngineProfile,
-    orders: OrderBook,
+    orders: OrderTracker,
     servers: BTreeMap<String, EmulatedServer>,
     /// Requests for the larger and the smaller model per 100 ms.
     requests: (u32, u32),
@@ -124,7 +124,7 @@
         let cluster = TestCluster::with_engine(engine.clone(), domains, servers);
         let ids = cluster.tables.instances.keys().cloned();
         let servers = ids.map(|id| (id, EmulatedServer::default())).collect();
-        let orders = OrderBook::default();
+        let orders = OrderTracker::default();
         let mut fleet = Fleet { cluster, engine, orders, servers, requests: (0, 0), added: 0 };
         fleet.run(12_000);
         fleet
--- a/crates/grouping/tests/member_release.rs
+++ b/crates/grouping/tests/member_release.rs
@@ -5,7 +5,7 @@
 
 use common::{LARGE, SMALL, TestCluster};
 use dockwood_api::gateway::{GroupCommand, GroupOrder, MembershipState, OrderAnswer};
-use dockwood_grouping::{Observations, OrderBook, Scrutiny, advance_groups, release_members};
+use dockwood_grouping::{Observations, OrderTracker, Scrutiny, advance_groups, release_members};
 use dockwood_state::{GatewayCommand, GroupPhase};
 
 /// Longer than the maximum delay of a report.
@@ -22,7 +22,7 @@
     cluster.observations.assume_present(cluster.now, cluster.tables.instances.keys().cloned());
 }
 
-fn due_orders(tracker: &mut OrderBook, cluster: &TestCluster) -> Vec<GroupOrder> {
+fn due_orders(tracker: &mut OrderTracker, cluster: &TestCluster) -> Vec<GroupOrder> {
     tracker.to_send(&cluster.view(), 1)
 }
 
@@ -33,7 +33,7 @@
 /// Processes the answer to an order like the leader does.
 fn process_answer(
     cluster: &mut TestCluster,
-    tracker: &mut OrderBook,
+    tracker: &mut OrderTracker,
     order: &GroupOrder,
     answer: OrderAnswer,
 ) {
@@ -123,7 +123,7 @@
     let closing_since = cluster.now;
     cluster.now += 4_500;
     cluster.receive_report(late);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     let sent = due_orders(&mut tracker, &cluster);
     let leave = sent.iter().find(|order| order.instance == "d0-s2").expect("an order to leave");
     assert_eq!(leave.command, GroupCommand::Leave);
@@ -148,7 +148,7 @@
     let closing_since = cluster.now;
     let report = cluster.report("d0-s0", None, &[SMALL]);
     cluster.receive_report(report);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     let sent = due_orders(&mut tracker, &cluster);
     assert_eq!(commands(&sent), [("d0-s0", &GroupCommand::Close { truncate: true })]);
     process_answer(&mut cluster, &mut tracker, &sent[0], OrderAnswer::Unfit);
@@ -205,7 +205,7 @@
 #[test]
 fn a_member_that_may_still_execute_its_order_to_join_is_not_free() {
     let mut cluster = TestCluster::new(1, 4);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     let epoch = cluster.open_group(LARGE, &["d0-s0", "d0-s1", "d0-s2", "d0-s3"]);
     let join = GroupOrder {
         instance: "d0-s1".to_string(),
@@ -231,7 +231,7 @@
 #[test]
 fn a_head_that_is_finishing_requests_is_ordered_to_close_again_and_not_to_leave() {
     let mut cluster = TestCluster::new(1, 2);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     let epoch = cluster.open_group(SMALL, &["d0-s0", "d0-s1"]);
     cluster.apply(GatewayCommand::SetPhase { epoch, phase: GroupPhase::Draining, reason: String::new() });
     let first = due_orders(&mut tracker, &cluster);
--- a/crates/grouping/tests/orders.rs
+++ b/crates/grouping/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use common::{LARGE, SERVICE, SMALL, TestCluster};
 use dockwood_api::gateway::{GroupCommand, GroupOrder, MembershipState, OrderAnswer};
-use dockwood_grouping::OrderBook;
+use dockwood_grouping::OrderTracker;
 use dockwood_state::{GatewayCommand, GroupPhase, GroupPurpose};
 
 /// The fleet size at which a failure was found: 40 domains of 19 servers.
@@ -45,7 +45,7 @@
 #[test]
 fn a_turn_examines_no_open_groups() {
     let mut cluster = large_fleet();
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.to_send(&cluster.view(), 1);
     let before = tracker.groups_examined();
     for _ in 0..1_000 {
@@ -58,7 +58,7 @@
 #[test]
 fn a_turn_examines_only_changed_groups() {
     let mut cluster = large_fleet();
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.to_send(&cluster.view(), 1);
     let before = tracker.groups_examined();
     let epoch = form(&mut cluster, SMALL, members(7, 16..18));
@@ -83,7 +83,7 @@
             form(&mut cluster, LARGE, members(domain, first..first + 4));
         }
     }
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     let mut sent_joins = 0;
     for _ in 0..100 {
         let orders = tracker.to_send(&cluster.view(), 1);
@@ -100,7 +100,7 @@
 #[test]
 fn an_unanswered_order_does_not_block_other_groups_once_its_group_has_ended() {
     let mut cluster = TestCluster::new(DOMAINS, SERVERS);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     for domain in 0..16 {
         form(&mut cluster, LARGE, members(domain, 0..4));
     }
@@ -118,7 +118,7 @@
 fn orders_to_close_are_sent_while_many_joins_are_pending() {
     let mut cluster = TestCluster::new(DOMAINS, SERVERS);
     let open = cluster.open_group(LARGE, &["d39-s0", "d39-s1", "d39-s2", "d39-s3"]);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     for domain in 0..16 {
         form(&mut cluster, LARGE, members(domain, 0..4));
     }
--- a/crates/grouping/tests/placement.rs
+++ b/crates/grouping/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::{LARGE, SMALL, TestCluster, formed_groups};
 use dockwood_api::gateway::{GroupCommand, MembershipState, OrderAnswer};
-use dockwood_grouping::{OrderBook, Scrutiny, StagingPriority, advance_groups};
+use dockwood_grouping::{OrderTracker, Scrutiny, StagingPriority, advance_groups};
 use dockwood_state::{GatewayCommand, GroupPhase};
 
 #[test]
@@ -147,7 +147,7 @@
     let mut cluster = TestCluster::new(1, 2);
     let commands = cluster.plan().commands;
     cluster.apply_all(commands);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     let orders = tracker.to_send(&cluster.view(), 7);
     assert_eq!(orders.len(), 2);
     assert!(
--- a/crates/grouping/tests/staging.rs
+++ b/crates/grouping/tests/staging.rs
@@ -4,7 +4,7 @@
 
 use common::{LARGE, SERVICE, SMALL, TestCluster, formed_groups};
 use dockwood_api::gateway::MembershipState;
-use dockwood_grouping::{OrderBook, Scrutiny, StagingPriority, advance_groups, plan};
+use dockwood_grouping::{OrderTracker, Scrutiny, StagingPriority, advance_groups, plan};
 use dockwood_state::{GatewayCommand, GroupPhase, GroupPurpose};
 
 /// A member that may or may not have executed its order to join another model's group has no model that is
@@ -35,7 +35,7 @@
     let planned = cluster.plan();
     assert!(planned.commands.is_empty(), "{:?}", planned.commands);
     assert!(planned.staging.len() > 6, "the groups with the highest utility wait for their members");
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.wish(planned.staging);
     let orders = tracker.to_send(&cluster.view(), 1);
     assert_eq!(orders.len(), common::engine().loads_at_once as usize);
@@ -46,7 +46,7 @@
 #[test]
 fn loads_stay_within_the_rate_and_concurrency_limits_of_the_store() {
     let mut cluster = TestCluster::new(4, 10);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     cluster.mark_requests_seen();
     let mut started = 0;
     for _ in 0..50 {
@@ -67,7 +67,7 @@
             cluster.open_group(SMALL, &[&id(first), &id(first + 1)]);
         }
     }
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.wish(cluster.plan().staging);
     let max_loads = 8;
     assert_eq!(
@@ -118,7 +118,7 @@
     let staged: Vec<(&str, &str)> =
         planned.staging.iter().map(|request| (request.instance.as_str(), request.model.as_str())).collect();
     assert_eq!(staged, [("d0-s4", LARGE), ("d0-s5", LARGE)]);
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.wish(planned.staging);
     assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 2);
     assert!(plan(&cluster.view(), tracker.staging()).staging.is_empty(), "each stages only once");
@@ -192,7 +192,7 @@
         cluster.report_load("a", epoch, 4, false, true, true);
     }
     cluster.mark_requests_seen();
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.wish(cluster.plan().staging);
     assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 3, "half of the concurrent loads");
 }
@@ -201,7 +201,7 @@
 fn a_server_that_fails_while_staging_does_not_block_loads() {
     let mut cluster = TestCluster::new(1, 10);
     cluster.mark_requests_seen();
-    let mut tracker = OrderBook::default();
+    let mut tracker = OrderTracker::default();
     tracker.wish(cluster.plan().staging);
     let orders = tracker.to_send(&cluster.view(), 1);
     assert_eq!(orders.len(), 6);
