--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -266,7 +266,7 @@
         if commands.is_empty() && now >= self.plan_at {
             let plan = plan(&view, self.orders.staging());
             self.plan_at = now + plan_pause_ms(tables.instances.len());
-            self.orders.wish(plan.staging);
+            self.orders.set_staging_requests(plan.staging);
             commands = plan.commands;
         }
         commands
--- a/crates/grouping/src/orders.rs
+++ b/crates/grouping/src/orders.rs
@@ -232,7 +232,7 @@
     }
 
     /// Sets what hosts should stage from now on.
-    pub fn wish(&mut self, requests: Vec<StagingRequest>) {
+    pub fn set_staging_requests(&mut self, requests: Vec<StagingRequest>) {
         self.staging_requests = requests;
     }
 
--- a/crates/grouping/tests/common/fleet.rs
+++ b/crates/grouping/tests/common/fleet.rs
@@ -244,7 +244,7 @@
         commands.extend(reap_instances(&view));
         if commands.is_empty() {
             let planned = plan(&view, orders.staging());
-            self.orders.wish(planned.staging);
+            self.orders.set_staging_requests(planned.staging);
             commands = planned.commands;
         }
         commands
--- a/crates/grouping/tests/staging.rs
+++ b/crates/grouping/tests/staging.rs
@@ -36,10 +36,10 @@
     assert!(planned.commands.is_empty(), "{:?}", planned.commands);
     assert!(planned.staging.len() > 6, "the groups with the highest utility wait for their members");
     let mut tracker = OrderTracker::default();
-    tracker.wish(planned.staging);
+    tracker.set_staging_requests(planned.staging);
     let orders = tracker.to_send(&cluster.view(), 1);
     assert_eq!(orders.len(), common::engine().loads_at_once as usize);
-    tracker.wish(plan(&cluster.view(), tracker.staging()).staging);
+    tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
     assert!(tracker.to_send(&cluster.view(), 1).is_empty(), "the first loads are still in progress");
 }
 
@@ -50,7 +50,7 @@
     cluster.mark_requests_seen();
     let mut started = 0;
     for _ in 0..50 {
-        tracker.wish(plan(&cluster.view(), tracker.staging()).staging);
+        tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
         started += tracker.to_send(&cluster.view(), 1).len();
         cluster.now += 100;
         cluster.report_all();
@@ -68,18 +68,18 @@
         }
     }
     let mut tracker = OrderTracker::default();
-    tracker.wish(cluster.plan().staging);
+    tracker.set_staging_requests(cluster.plan().staging);
     let max_loads = 8;
     assert_eq!(
         tracker.to_send(&cluster.view(), 1).len(),
         max_loads,
         "the store's limit for five seconds, less a margin"
     );
-    tracker.wish(plan(&cluster.view(), tracker.staging()).staging);
+    tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
     assert!(tracker.to_send(&cluster.view(), 1).is_empty());
     cluster.now += 500;
     cluster.report_all();
-    tracker.wish(plan(&cluster.view(), tracker.staging()).staging);
+    tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
     assert_eq!(tracker.to_send(&cluster.view(), 1).len(), max_loads);
 }
 
@@ -119,7 +119,7 @@
         planned.staging.iter().map(|request| (request.instance.as_str(), request.model.as_str())).collect();
     assert_eq!(staged, [("d0-s4", LARGE), ("d0-s5", LARGE)]);
     let mut tracker = OrderTracker::default();
-    tracker.wish(planned.staging);
+    tracker.set_staging_requests(planned.staging);
     assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 2);
     assert!(plan(&cluster.view(), tracker.staging()).staging.is_empty(), "each stages only once");
 }
@@ -193,7 +193,7 @@
     }
     cluster.mark_requests_seen();
     let mut tracker = OrderTracker::default();
-    tracker.wish(cluster.plan().staging);
+    tracker.set_staging_requests(cluster.plan().staging);
     assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 3, "half of the concurrent loads");
 }
 
@@ -202,7 +202,7 @@
     let mut cluster = TestCluster::new(1, 10);
     cluster.mark_requests_seen();
     let mut tracker = OrderTracker::default();
-    tracker.wish(cluster.plan().staging);
+    tracker.set_staging_requests(cluster.plan().staging);
     let orders = tracker.to_send(&cluster.view(), 1);
     assert_eq!(orders.len(), 6);
     cluster.observations.record_probe(
@@ -211,6 +211,6 @@
         dockwood_grouping::ProbeResult::Silent,
     );
     tracker.to_send(&cluster.view(), 1);
-    tracker.wish(plan(&cluster.view(), tracker.staging()).staging);
+    tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
     assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 1, "one load replaces that of the failed server");
 }
