--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -294,7 +294,7 @@
         term: u64,
     ) -> Vec<GroupOrder> {
         let view = View { tables, observations: &self.observations, now, policy };
-        self.orders.to_send(&view, term)
+        self.orders.due_orders(&view, term)
     }
 
     /// Members of silent or slow groups, slow servers, those that left an order to join unanswered, and instances that
--- a/crates/grouping/src/orders.rs
+++ b/crates/grouping/src/orders.rs
@@ -116,7 +116,7 @@
 
 impl OrderTracker {
     /// Returns the orders to send now.
-    pub fn to_send(&mut self, view: &View<'_>, fence: u64) -> Vec<GroupOrder> {
+    pub fn due_orders(&mut self, view: &View<'_>, fence: u64) -> Vec<GroupOrder> {
         self.track_groups(view);
         if view.now >= self.sweep_at {
             self.sweep(view);
--- a/crates/grouping/tests/common/fleet.rs
+++ b/crates/grouping/tests/common/fleet.rs
@@ -229,7 +229,7 @@
         }
         let commands = self.decide();
         self.cluster.apply_all(commands);
-        let due = self.orders.to_send(&self.cluster.view(), 1);
+        let due = self.orders.due_orders(&self.cluster.view(), 1);
         for order in due {
             let answer = self.execute(&order);
             self.orders.answered(self.cluster.now, &order, answer);
--- a/crates/grouping/tests/departures.rs
+++ b/crates/grouping/tests/departures.rs
@@ -129,7 +129,7 @@
     assert_eq!(phase_after(&mut cluster, epoch, 200), Some(GroupPhase::Draining), "a request is running");
     cluster.report_load("entry", epoch, 0, false, false, true);
     assert_eq!(phase_after(&mut cluster, epoch, 0), Some(GroupPhase::Cutting));
-    let orders = OrderTracker::default().to_send(&cluster.view(), 1);
+    let orders = OrderTracker::default().due_orders(&cluster.view(), 1);
     let sent: Vec<_> = orders.iter().map(|order| (order.instance.as_str(), &order.command)).collect();
     assert!(sent.contains(&(MEMBER, &GroupCommand::Leave)), "{sent:?}");
 }
--- a/crates/grouping/tests/lifecycle.rs
+++ b/crates/grouping/tests/lifecycle.rs
@@ -104,7 +104,7 @@
     let closing_since = cluster.now;
     let mut tracker = OrderTracker::default();
     let sent = |tracker: &mut OrderTracker, cluster: &TestCluster| {
-        let orders = tracker.to_send(&cluster.view(), 1);
+        let orders = tracker.due_orders(&cluster.view(), 1);
         orders.into_iter().map(|order| (order.instance, order.command)).collect::<Vec<_>>()
     };
     let head = "d0-s0".to_string();
@@ -186,7 +186,7 @@
     }
     cluster.apply(GatewayCommand::SetPhase { epoch, phase: GroupPhase::Cutting, reason: String::new() });
     let closing_since = cluster.now;
-    let orders = OrderTracker::default().to_send(&cluster.view(), 1);
+    let orders = OrderTracker::default().due_orders(&cluster.view(), 1);
     let leaving = orders.iter().filter(|order| order.command == GroupCommand::Leave);
     assert_eq!(leaving.map(|order| order.instance.as_str()).collect::<Vec<_>>(), ["d0-s1", "d0-s2", "d0-s3"]);
     cluster.now += 100;
@@ -208,7 +208,7 @@
     let mut cluster = TestCluster::new(1, 2);
     let epoch = cluster.open_group(SMALL, &["d0-s0", "d0-s1"]);
     cluster.apply(GatewayCommand::SetPhase { epoch, phase: GroupPhase::Cutting, reason: String::new() });
-    let orders = OrderTracker::default().to_send(&cluster.view(), 1);
+    let orders = OrderTracker::default().due_orders(&cluster.view(), 1);
     assert!(orders.iter().all(|order| order.command != GroupCommand::Leave), "{orders:?}");
 }
 
--- a/crates/grouping/tests/member_release.rs
+++ b/crates/grouping/tests/member_release.rs
@@ -23,7 +23,7 @@
 }
 
 fn due_orders(tracker: &mut OrderTracker, cluster: &TestCluster) -> Vec<GroupOrder> {
-    tracker.to_send(&cluster.view(), 1)
+    tracker.due_orders(&cluster.view(), 1)
 }
 
 fn commands(orders: &[GroupOrder]) -> Vec<(&str, &GroupCommand)> {
--- a/crates/grouping/tests/orders.rs
+++ b/crates/grouping/tests/orders.rs
@@ -46,11 +46,11 @@
 fn a_turn_examines_no_open_groups() {
     let mut cluster = large_fleet();
     let mut tracker = OrderTracker::default();
-    tracker.to_send(&cluster.view(), 1);
+    tracker.due_orders(&cluster.view(), 1);
     let before = tracker.groups_examined();
     for _ in 0..1_000 {
         cluster.now += 1;
-        assert!(tracker.to_send(&cluster.view(), 1).is_empty());
+        assert!(tracker.due_orders(&cluster.view(), 1).is_empty());
     }
     assert_eq!(tracker.groups_examined(), before, "nothing has changed");
 }
@@ -59,17 +59,17 @@
 fn a_turn_examines_only_changed_groups() {
     let mut cluster = large_fleet();
     let mut tracker = OrderTracker::default();
-    tracker.to_send(&cluster.view(), 1);
+    tracker.due_orders(&cluster.view(), 1);
     let before = tracker.groups_examined();
     let epoch = form(&mut cluster, SMALL, members(7, 16..18));
-    assert_eq!(joins(&tracker.to_send(&cluster.view(), 1)), 2);
+    assert_eq!(joins(&tracker.due_orders(&cluster.view(), 1)), 2);
     assert_eq!(tracker.groups_examined() - before, 1);
     cluster.now += 10;
     cluster.report_membership("d7-s16", epoch, MembershipState::Joining, &[]);
     tracker.touch(epoch);
-    tracker.to_send(&cluster.view(), 1);
+    tracker.due_orders(&cluster.view(), 1);
     assert_eq!(tracker.groups_examined() - before, 2, "once more for the member's report");
-    tracker.to_send(&cluster.view(), 1);
+    tracker.due_orders(&cluster.view(), 1);
     assert_eq!(tracker.groups_examined() - before, 2);
 }
 
@@ -86,7 +86,7 @@
     let mut tracker = OrderTracker::default();
     let mut sent_joins = 0;
     for _ in 0..100 {
-        let orders = tracker.to_send(&cluster.view(), 1);
+        let orders = tracker.due_orders(&cluster.view(), 1);
         assert!(joins(&orders) <= 64, "{} in one batch", joins(&orders));
         sent_joins += joins(&orders);
         for order in &orders {
@@ -104,13 +104,13 @@
     for domain in 0..16 {
         form(&mut cluster, LARGE, members(domain, 0..4));
     }
-    assert_eq!(joins(&tracker.to_send(&cluster.view(), 1)), 64);
+    assert_eq!(joins(&tracker.due_orders(&cluster.view(), 1)), 64);
     let waiting = form(&mut cluster, LARGE, members(20, 0..4));
     cluster.now += 50;
-    assert!(tracker.to_send(&cluster.view(), 1).is_empty(), "the maximum number of joins is pending");
+    assert!(tracker.due_orders(&cluster.view(), 1).is_empty(), "the maximum number of joins is pending");
     cluster.apply(GatewayCommand::End { epoch: 1, reason: String::new() });
     cluster.now += 50;
-    let orders = tracker.to_send(&cluster.view(), 1);
+    let orders = tracker.due_orders(&cluster.view(), 1);
     assert_eq!(orders.iter().map(|order| order.epoch).collect::<Vec<u64>>(), [waiting; 4]);
 }
 
@@ -122,10 +122,10 @@
     for domain in 0..16 {
         form(&mut cluster, LARGE, members(domain, 0..4));
     }
-    assert_eq!(joins(&tracker.to_send(&cluster.view(), 1)), 64);
+    assert_eq!(joins(&tracker.due_orders(&cluster.view(), 1)), 64);
     let phase = GroupPhase::Cutting;
     cluster.apply(GatewayCommand::SetPhase { epoch: open, phase, reason: String::new() });
-    let orders = tracker.to_send(&cluster.view(), 1);
+    let orders = tracker.due_orders(&cluster.view(), 1);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].command, GroupCommand::Close { truncate: true });
 }
--- a/crates/grouping/tests/placement.rs
+++ b/crates/grouping/tests/placement.rs
@@ -148,26 +148,26 @@
     let commands = cluster.plan().commands;
     cluster.apply_all(commands);
     let mut tracker = OrderTracker::default();
-    let orders = tracker.to_send(&cluster.view(), 7);
+    let orders = tracker.due_orders(&cluster.view(), 7);
     assert_eq!(orders.len(), 2);
     assert!(
         orders.iter().all(|order| order.fence == 7 && matches!(order.command, GroupCommand::Join { .. }))
     );
-    assert!(tracker.to_send(&cluster.view(), 7).is_empty(), "the orders are in flight");
+    assert!(tracker.due_orders(&cluster.view(), 7).is_empty(), "the orders are in flight");
     tracker.answered(cluster.now, &orders[0], OrderAnswer::Silent);
     tracker.answered(cluster.now, &orders[1], OrderAnswer::Begun);
     cluster.now += 1_000;
-    assert_eq!(tracker.to_send(&cluster.view(), 7).len(), 1, "the unanswered order is sent again");
+    assert_eq!(tracker.due_orders(&cluster.view(), 7).len(), 1, "the unanswered order is sent again");
     let epoch = cluster.tables.last_epoch;
     for id in ["d0-s0", "d0-s1"] {
         cluster.report_membership(id, epoch, MembershipState::Ready, &[SMALL]);
     }
     cluster.now += 10_000;
     cluster.report_all();
-    assert!(tracker.to_send(&cluster.view(), 7).is_empty(), "both have joined");
+    assert!(tracker.due_orders(&cluster.view(), 7).is_empty(), "both have joined");
     let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| 0);
     cluster.apply_all(commands);
-    let orders = tracker.to_send(&cluster.view(), 7);
+    let orders = tracker.due_orders(&cluster.view(), 7);
     assert!(matches!(&orders[..], [order] if order.command == GroupCommand::Open));
 }
 
--- a/crates/grouping/tests/staging.rs
+++ b/crates/grouping/tests/staging.rs
@@ -37,10 +37,10 @@
     assert!(planned.staging.len() > 6, "the groups with the highest utility wait for their members");
     let mut tracker = OrderTracker::default();
     tracker.set_staging_requests(planned.staging);
-    let orders = tracker.to_send(&cluster.view(), 1);
+    let orders = tracker.due_orders(&cluster.view(), 1);
     assert_eq!(orders.len(), common::engine().loads_at_once as usize);
     tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
-    assert!(tracker.to_send(&cluster.view(), 1).is_empty(), "the first loads are still in progress");
+    assert!(tracker.due_orders(&cluster.view(), 1).is_empty(), "the first loads are still in progress");
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let mut started = 0;
     for _ in 0..50 {
         tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
-        started += tracker.to_send(&cluster.view(), 1).len();
+        started += tracker.due_orders(&cluster.view(), 1).len();
         cluster.now += 100;
         cluster.report_all();
     }
@@ -71,16 +71,16 @@
     tracker.set_staging_requests(cluster.plan().staging);
     let max_loads = 8;
     assert_eq!(
-        tracker.to_send(&cluster.view(), 1).len(),
+        tracker.due_orders(&cluster.view(), 1).len(),
         max_loads,
         "the store's limit for five seconds, less a margin"
     );
     tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
-    assert!(tracker.to_send(&cluster.view(), 1).is_empty());
+    assert!(tracker.due_orders(&cluster.view(), 1).is_empty());
     cluster.now += 500;
     cluster.report_all();
     tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
-    assert_eq!(tracker.to_send(&cluster.view(), 1).len(), max_loads);
+    assert_eq!(tracker.due_orders(&cluster.view(), 1).len(), max_loads);
 }
 
 /// Found on norrstrom-klubb: members that were about to load weights as they joined were also ordered to
@@ -120,7 +120,7 @@
     assert_eq!(staged, [("d0-s4", LARGE), ("d0-s5", LARGE)]);
     let mut tracker = OrderTracker::default();
     tracker.set_staging_requests(planned.staging);
-    assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 2);
+    assert_eq!(tracker.due_orders(&cluster.view(), 1).len(), 2);
     assert!(plan(&cluster.view(), tracker.staging()).staging.is_empty(), "each stages only once");
 }
 
@@ -194,7 +194,7 @@
     cluster.mark_requests_seen();
     let mut tracker = OrderTracker::default();
     tracker.set_staging_requests(cluster.plan().staging);
-    assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 3, "half of the concurrent loads");
+    assert_eq!(tracker.due_orders(&cluster.view(), 1).len(), 3, "half of the concurrent loads");
 }
 
 #[test]
@@ -203,14 +203,18 @@
     cluster.mark_requests_seen();
     let mut tracker = OrderTracker::default();
     tracker.set_staging_requests(cluster.plan().staging);
-    let orders = tracker.to_send(&cluster.view(), 1);
+    let orders = tracker.due_orders(&cluster.view(), 1);
     assert_eq!(orders.len(), 6);
     cluster.observations.record_probe(
         cluster.now,
         &orders[0].instance,
         dockwood_grouping::ProbeResult::Silent,
     );
-    tracker.to_send(&cluster.view(), 1);
+    tracker.due_orders(&cluster.view(), 1);
     tracker.set_staging_requests(plan(&cluster.view(), tracker.staging()).staging);
-    assert_eq!(tracker.to_send(&cluster.view(), 1).len(), 1, "one load replaces that of the failed server");
+    assert_eq!(
+        tracker.due_orders(&cluster.view(), 1).len(),
+        1,
+        "one load replaces that of the failed server"
+    );
 }
