--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -9,7 +9,7 @@
 };
 use dockwood_grouping::{
     ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker, PlaceLedger,
-    ProbeResult, Scrutiny, View, advance_groups, places_of_group, plan, plan_pause_ms, reap_instances,
+    ProbeResult, ScanScope, View, advance_groups, places_of_group, plan, plan_pause_ms, reap_instances,
     release_members, replace_slow_members, scrutiny_pause_ms,
 };
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupRow, InstanceRow};
@@ -249,7 +249,7 @@
         self.follow(now, tables);
         let view = View { tables, observations: &self.observations, now, policy };
         let looks_at_all = now >= self.scrutiny_at;
-        let scrutiny = if looks_at_all { Scrutiny::All } else { Scrutiny::Unsettled };
+        let scrutiny = if looks_at_all { ScanScope::All } else { ScanScope::Unsettled };
         let mut commands = self.successors.confirmed();
         commands.extend(advance_groups(&view, scrutiny, |epoch| self.orders.closing_since(now, epoch)));
         commands.extend(release_members(&view, |epoch| self.orders.closing_since(now, epoch)));
--- a/crates/grouping/src/lifecycle.rs
+++ b/crates/grouping/src/lifecycle.rs
@@ -31,7 +31,7 @@
 
 /// Which groups are examined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scrutiny {
+pub enum ScanScope {
     /// All groups.
     All,
     /// Groups in any phase other than open.
@@ -46,10 +46,10 @@
 /// Commands that advance groups to their next phase.
 pub fn advance_groups(
     view: &View<'_>,
-    scrutiny: Scrutiny,
+    scrutiny: ScanScope,
     closing_since: impl Fn(u64) -> Millis,
 ) -> Vec<GatewayCommand> {
-    let is_examined = |group: &&Arc<GroupRow>| scrutiny == Scrutiny::All || group.phase != GroupPhase::Open;
+    let is_examined = |group: &&Arc<GroupRow>| scrutiny == ScanScope::All || group.phase != GroupPhase::Open;
     let groups = view.tables.groups.values().filter(is_examined);
     groups.filter_map(|group| advance(view, group, closing_since(group.epoch))).collect()
 }
--- a/crates/grouping/tests/common/fleet.rs
+++ b/crates/grouping/tests/common/fleet.rs
@@ -7,7 +7,7 @@
     MembershipState, ModelProfile, OrderAnswer,
 };
 use dockwood_grouping::{
-    OrderTracker, ProbeResult, Scrutiny, advance_groups, plan, reap_instances, release_members,
+    OrderTracker, ProbeResult, ScanScope, advance_groups, plan, reap_instances, release_members,
 };
 use dockwood_state::{GatewayCommand, GroupPhase, GroupPurpose, InstanceRow};
 use std::collections::BTreeMap;
@@ -239,7 +239,7 @@
     fn decide(&mut self) -> Vec<GatewayCommand> {
         self.cluster.observations.note_departures(self.cluster.now, &self.cluster.tables);
         let (view, orders, now) = (self.cluster.view(), &self.orders, self.cluster.now);
-        let mut commands = advance_groups(&view, Scrutiny::All, |epoch| orders.closing_since(now, epoch));
+        let mut commands = advance_groups(&view, ScanScope::All, |epoch| orders.closing_since(now, epoch));
         commands.extend(release_members(&view, |epoch| orders.closing_since(now, epoch)));
         commands.extend(reap_instances(&view));
         if commands.is_empty() {
--- a/crates/grouping/tests/departures.rs
+++ b/crates/grouping/tests/departures.rs
@@ -5,7 +5,7 @@
 use common::{SMALL, TestCluster};
 use dockwood_api::gateway::{GroupCommand, InstanceState};
 use dockwood_grouping::{
-    Observations, OrderTracker, ProbeResult, Scrutiny, advance_groups, departing_groups,
+    Observations, OrderTracker, ProbeResult, ScanScope, advance_groups, departing_groups,
 };
 use dockwood_state::{GatewayCommand, GroupPhase, InstanceRow};
 
@@ -39,7 +39,7 @@
 
 fn phase_after(cluster: &mut TestCluster, epoch: u64, span_ms: u64) -> Option<GroupPhase> {
     cluster.now += span_ms;
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| START_MS);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| START_MS);
     cluster.apply_all(commands);
     cluster.phase(epoch)
 }
--- a/crates/grouping/tests/evacuation.rs
+++ b/crates/grouping/tests/evacuation.rs
@@ -5,7 +5,7 @@
 
 use common::{LARGE, SERVICE, SMALL, TestCluster, formed_groups};
 use dockwood_api::gateway::{InstanceState, MembershipState, PlaceReply, PlaceRequest};
-use dockwood_grouping::{Dispatcher, Scrutiny, advance_groups};
+use dockwood_grouping::{Dispatcher, ScanScope, advance_groups};
 use dockwood_state::{GatewayCommand, GroupPhase, InstanceRow};
 
 const OTHER: &str = "other";
@@ -174,7 +174,7 @@
     );
     set_evacuation(&mut cluster, OTHER, true);
     assert_eq!(changed_phases(&cluster), [] as [u64; 0]);
-    assert!(advance_groups(&cluster.view(), Scrutiny::All, |_| 0).is_empty());
+    assert!(advance_groups(&cluster.view(), ScanScope::All, |_| 0).is_empty());
     assert!(cluster.tables.groups.values().all(|group| group.phase == GroupPhase::Open));
 }
 
@@ -188,7 +188,7 @@
     };
     cluster.apply(GatewayCommand::Register(leaving));
     cluster.apply(GatewayCommand::Remove { id: "d0-s2".to_string() });
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| 0);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| 0);
     cluster.apply_all(commands);
     assert_eq!(cluster.phase(1), Some(GroupPhase::Cutting));
     assert_eq!(cluster.phase(2), Some(GroupPhase::Draining));
--- a/crates/grouping/tests/heartbeats.rs
+++ b/crates/grouping/tests/heartbeats.rs
@@ -4,7 +4,7 @@
 
 use common::{SMALL, TestCluster};
 use dockwood_api::gateway::MembershipState;
-use dockwood_grouping::{HeartbeatInterval, Scrutiny, advance_groups, reap_instances};
+use dockwood_grouping::{HeartbeatInterval, ScanScope, advance_groups, reap_instances};
 use dockwood_state::{GatewayCommand, GroupPhase, GroupPurpose};
 
 /// Interval of a fleet of a few thousand servers, in milliseconds.
@@ -40,7 +40,7 @@
     let mut cluster = with_long_interval();
     let epoch = form(&mut cluster);
     cluster.now += LONG_INTERVAL_MS - 1;
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| 0);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| 0);
     assert!(commands.is_empty(), "no member is lost: {commands:?}");
     assert_eq!(cluster.phase(epoch), Some(GroupPhase::Forming));
 }
@@ -51,7 +51,7 @@
     let epoch = form(&mut cluster);
     cluster.now += HeartbeatInterval::from_millis(LONG_INTERVAL_MS).missing_after_ms();
     cluster.report_membership("d0-s0", epoch, MembershipState::Joining, &[]);
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| 0);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| 0);
     cluster.apply_all(commands);
     assert!(cluster.tables.groups.is_empty(), "the other member is lost");
 }
--- a/crates/grouping/tests/lifecycle.rs
+++ b/crates/grouping/tests/lifecycle.rs
@@ -6,12 +6,12 @@
 use dockwood_api::gateway::GroupCommand;
 use dockwood_api::gateway::MembershipState;
 use dockwood_grouping::{
-    OrderTracker, Scrutiny, advance_groups, reap_instances, release_members, scrutiny_pause_ms,
+    OrderTracker, ScanScope, advance_groups, reap_instances, release_members, scrutiny_pause_ms,
 };
 use dockwood_state::{GatewayCommand, GroupPhase};
 
 fn advance(cluster: &mut TestCluster, closing_since: u64) {
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| closing_since);
     cluster.apply_all(commands);
 }
 
@@ -227,7 +227,7 @@
         let commands = advance_groups(&cluster.view(), scrutiny, |_| 0);
         commands.iter().filter(|command| matches!(command, GatewayCommand::SetPhase { .. })).count()
     };
-    assert_eq!(advanced(Scrutiny::Unsettled), 1, "only the draining group");
-    assert_eq!(advanced(Scrutiny::All), 2);
+    assert_eq!(advanced(ScanScope::Unsettled), 1, "only the draining group");
+    assert_eq!(advanced(ScanScope::All), 2);
     assert!(scrutiny_pause_ms(760) <= 50, "a fleet of some hundred servers is examined with each decision");
 }
--- a/crates/grouping/tests/member_release.rs
+++ b/crates/grouping/tests/member_release.rs
@@ -5,7 +5,7 @@
 
 use common::{LARGE, SMALL, TestCluster};
 use dockwood_api::gateway::{GroupCommand, GroupOrder, MembershipState, OrderAnswer};
-use dockwood_grouping::{Observations, OrderTracker, Scrutiny, advance_groups, release_members};
+use dockwood_grouping::{Observations, OrderTracker, ScanScope, advance_groups, release_members};
 use dockwood_state::{GatewayCommand, GroupPhase};
 
 /// Longer than the maximum delay of a report.
@@ -72,11 +72,14 @@
     cluster.now += 2_000;
     cluster.receive_report(late);
     assert!(
-        advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since).is_empty(),
+        advance_groups(&cluster.view(), ScanScope::All, |_| closing_since).is_empty(),
         "the head may be open"
     );
     cluster.report_membership("d0-s0", epoch, MembershipState::Open, &[SMALL]);
-    assert!(advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since).is_empty(), "the head is open");
+    assert!(
+        advance_groups(&cluster.view(), ScanScope::All, |_| closing_since).is_empty(),
+        "the head is open"
+    );
 }
 
 #[test]
@@ -152,12 +155,12 @@
     let sent = due_orders(&mut tracker, &cluster);
     assert_eq!(commands(&sent), [("d0-s0", &GroupCommand::Close { truncate: true })]);
     process_answer(&mut cluster, &mut tracker, &sent[0], OrderAnswer::Unfit);
-    assert!(advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since).is_empty());
+    assert!(advance_groups(&cluster.view(), ScanScope::All, |_| closing_since).is_empty());
     cluster.now += 300;
     let sent = due_orders(&mut tracker, &cluster);
     assert_eq!(commands(&sent), [("d0-s0", &GroupCommand::Leave)]);
     process_answer(&mut cluster, &mut tracker, &sent[0], OrderAnswer::Unfit);
-    cluster.apply_all(advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since));
+    cluster.apply_all(advance_groups(&cluster.view(), ScanScope::All, |_| closing_since));
     assert_eq!(cluster.phase(epoch), None);
 }
 
@@ -193,11 +196,11 @@
     let closing_since = cluster.now;
     cluster.now += 8_000;
     assert!(
-        advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since).is_empty(),
+        advance_groups(&cluster.view(), ScanScope::All, |_| closing_since).is_empty(),
         "the head may still be serving"
     );
     cluster.now += BEYOND_REPORT_DELAY_MS;
-    cluster.apply_all(advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since));
+    cluster.apply_all(advance_groups(&cluster.view(), ScanScope::All, |_| closing_since));
     assert_eq!(cluster.phase(epoch), None);
 }
 
@@ -253,7 +256,7 @@
     let closing_since = cluster.now;
     cluster.now += 10_000;
     assert!(
-        advance_groups(&cluster.view(), Scrutiny::All, |_| closing_since).is_empty(),
+        advance_groups(&cluster.view(), ScanScope::All, |_| closing_since).is_empty(),
         "the head may be partitioned and still be serving"
     );
 }
--- a/crates/grouping/tests/placement.rs
+++ b/crates/grouping/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::{LARGE, SMALL, TestCluster, formed_groups};
 use dockwood_api::gateway::{GroupCommand, MembershipState, OrderAnswer};
-use dockwood_grouping::{OrderTracker, Scrutiny, StagingPriority, advance_groups};
+use dockwood_grouping::{OrderTracker, ScanScope, StagingPriority, advance_groups};
 use dockwood_state::{GatewayCommand, GroupPhase};
 
 #[test]
@@ -165,7 +165,7 @@
     cluster.now += 10_000;
     cluster.report_all();
     assert!(tracker.due_orders(&cluster.view(), 7).is_empty(), "both have joined");
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| 0);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| 0);
     cluster.apply_all(commands);
     let orders = tracker.due_orders(&cluster.view(), 7);
     assert!(matches!(&orders[..], [order] if order.command == GroupCommand::Open));
--- a/crates/grouping/tests/staging.rs
+++ b/crates/grouping/tests/staging.rs
@@ -4,7 +4,7 @@
 
 use common::{LARGE, SERVICE, SMALL, TestCluster, formed_groups};
 use dockwood_api::gateway::MembershipState;
-use dockwood_grouping::{OrderTracker, Scrutiny, StagingPriority, advance_groups, plan};
+use dockwood_grouping::{OrderTracker, ScanScope, StagingPriority, advance_groups, plan};
 use dockwood_state::{GatewayCommand, GroupPhase, GroupPurpose};
 
 /// A member that may or may not have executed its order to join another model's group has no model that is
@@ -144,9 +144,9 @@
     );
     cluster.apply_all(planned.commands);
     let epoch = cluster.tables.last_epoch;
-    assert!(advance_groups(&cluster.view(), Scrutiny::All, |_| 0).is_empty(), "it has not loaded yet");
+    assert!(advance_groups(&cluster.view(), ScanScope::All, |_| 0).is_empty(), "it has not loaded yet");
     cluster.report_membership("d0-s0", epoch, MembershipState::Ready, &[SMALL]);
-    let commands = advance_groups(&cluster.view(), Scrutiny::All, |_| 0);
+    let commands = advance_groups(&cluster.view(), ScanScope::All, |_| 0);
     assert_eq!(commands, [GatewayCommand::Preloaded { epoch }]);
     cluster.apply_all(commands);
     assert!(cluster.tables.groups.is_empty());
