--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -9,8 +9,8 @@
 };
 use dockwood_grouping::{
     ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker, PlaceLedger,
-    ProbeResult, ScanScope, View, advance_groups, places_of_group, plan, plan_pause_ms, reap_instances,
-    release_members, replace_slow_members, scrutiny_pause_ms,
+    ProbeResult, ScanScope, View, advance_groups, full_scan_interval_ms, places_of_group, plan,
+    plan_pause_ms, reap_instances, release_members, replace_slow_members,
 };
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupRow, InstanceRow};
 use imbl::OrdMap;
@@ -254,7 +254,7 @@
         commands.extend(advance_groups(&view, scrutiny, |epoch| self.orders.closing_since(now, epoch)));
         commands.extend(release_members(&view, |epoch| self.orders.closing_since(now, epoch)));
         if looks_at_all {
-            self.scrutiny_at = now + scrutiny_pause_ms(tables.instances.len());
+            self.scrutiny_at = now + full_scan_interval_ms(tables.instances.len());
             let decided: BTreeSet<u64> = commands.iter().filter_map(decided_group).collect();
             commands.extend(replace_slow_members(&view, |epoch| decided.contains(&epoch)));
             commands.extend(reap_instances(&view));
--- a/crates/grouping/src/lib.rs
+++ b/crates/grouping/src/lib.rs
@@ -42,7 +42,7 @@
 pub use dispatch::Dispatcher;
 pub use heartbeat::HeartbeatInterval;
 pub use instances::{InstanceObservation, ProbeResult, UnansweredJoin};
-pub use lifecycle::{ScanScope, advance_groups, reap_instances, release_members, scrutiny_pause_ms};
+pub use lifecycle::{ScanScope, advance_groups, full_scan_interval_ms, reap_instances, release_members};
 pub use observations::Observations;
 pub use orders::{OrderKind, OrderTracker};
 pub use places::{GroupPlaces, PlaceLedger};
--- a/crates/grouping/src/lifecycle.rs
+++ b/crates/grouping/src/lifecycle.rs
@@ -39,7 +39,7 @@
 }
 
 /// Interval between two full scans of a fleet with this many servers, in milliseconds.
-pub fn scrutiny_pause_ms(servers: usize) -> Millis {
+pub fn full_scan_interval_ms(servers: usize) -> Millis {
     servers as Millis / SERVERS_SCANNED_PER_MS
 }
 
--- a/crates/grouping/tests/lifecycle.rs
+++ b/crates/grouping/tests/lifecycle.rs
@@ -6,7 +6,7 @@
 use dockwood_api::gateway::GroupCommand;
 use dockwood_api::gateway::MembershipState;
 use dockwood_grouping::{
-    OrderTracker, ScanScope, advance_groups, reap_instances, release_members, scrutiny_pause_ms,
+    OrderTracker, ScanScope, advance_groups, full_scan_interval_ms, reap_instances, release_members,
 };
 use dockwood_state::{GatewayCommand, GroupPhase};
 
@@ -229,5 +229,8 @@
     };
     assert_eq!(advanced(ScanScope::Unsettled), 1, "only the draining group");
     assert_eq!(advanced(ScanScope::All), 2);
-    assert!(scrutiny_pause_ms(760) <= 50, "a fleet of some hundred servers is examined with each decision");
+    assert!(
+        full_scan_interval_ms(760) <= 50,
+        "a fleet of some hundred servers is examined with each decision"
+    );
 }
