--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -10,7 +10,7 @@
 use dockwood_grouping::{
     ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker, PlaceLedger,
     ProbeResult, ScanScope, View, advance_groups, full_scan_interval_ms, places_of_group, plan,
-    plan_pause_ms, reap_instances, release_members, replace_slow_members,
+    plan_interval_ms, reap_instances, release_members, replace_slow_members,
 };
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupRow, InstanceRow};
 use imbl::OrdMap;
@@ -265,7 +265,7 @@
         // A plan is made on settled tables only: what was decided is committed first.
         if commands.is_empty() && now >= self.plan_at {
             let plan = plan(&view, self.orders.staging());
-            self.plan_at = now + plan_pause_ms(tables.instances.len());
+            self.plan_at = now + plan_interval_ms(tables.instances.len());
             self.orders.set_staging_requests(plan.staging);
             commands = plan.commands;
         }
--- a/crates/grouping/src/lib.rs
+++ b/crates/grouping/src/lib.rs
@@ -46,7 +46,7 @@
 pub use observations::Observations;
 pub use orders::{OrderKind, OrderTracker};
 pub use places::{GroupPlaces, PlaceLedger};
-pub use plan::{Plan, plan, plan_pause_ms};
+pub use plan::{Plan, plan, plan_interval_ms};
 pub use scope::ScopeDispatch;
 pub use slow_members::replace_slow_members;
 pub use staging::{StagingInProgress, StagingPriority, StagingRequest};
--- a/crates/grouping/src/plan.rs
+++ b/crates/grouping/src/plan.rs
@@ -32,13 +32,13 @@
 const SERVERS_PLANNED_PER_MS: Millis = 4;
 
 /// Interval between two plans of a fleet with this many servers, in milliseconds.
-pub fn plan_pause_ms(servers: usize) -> Millis {
+pub fn plan_interval_ms(servers: usize) -> Millis {
     servers as Millis / SERVERS_PLANNED_PER_MS
 }
 
 /// Maximum number of commands in one plan of a fleet with this many servers.
 fn max_commands(servers: usize) -> usize {
-    let allowed = plan_pause_ms(servers) * COMMANDS_PER_SECOND / 1_000;
+    let allowed = plan_interval_ms(servers) * COMMANDS_PER_SECOND / 1_000;
     MIN_COMMANDS_PER_PLAN.max(allowed as usize)
 }
 
--- a/crates/grouping/tests/formation_time.rs
+++ b/crates/grouping/tests/formation_time.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::TestCluster;
-use dockwood_grouping::plan_pause_ms;
+use dockwood_grouping::plan_interval_ms;
 
 const SERVERS_PER_DOMAIN: usize = 19;
 /// Minimum rate in percent of that with a third of the servers: the last plan is rarely full.
@@ -20,7 +20,7 @@
             return planned * 1_000 / elapsed_ms;
         }
         planned += commands.len() as u64;
-        elapsed_ms += plan_pause_ms(servers);
+        elapsed_ms += plan_interval_ms(servers);
         cluster.apply_all(commands);
     }
 }
