--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -8,9 +8,9 @@
     SharedGroupLoad,
 };
 use dockwood_grouping::{
-    ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker, PlaceLedger,
-    ProbeResult, ScanScope, View, advance_groups, full_scan_interval_ms, places_of_group, plan,
-    plan_interval_ms, reap_instances, release_members, replace_slow_members,
+    ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker,
+    PlaceAllocator, ProbeResult, ScanScope, View, advance_groups, full_scan_interval_ms, places_of_group,
+    plan, plan_interval_ms, reap_instances, release_members, replace_slow_members,
 };
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupRow, InstanceRow};
 use imbl::OrdMap;
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub struct GatewayLeadership {
     observations: Observations,
-    places: PlaceLedger,
+    places: PlaceAllocator,
     dispatcher: Dispatcher,
     orders: OrderTracker,
     /// Members that left an order to join unanswered, to be asked whether they are alive.
--- a/crates/grouping/src/lib.rs
+++ b/crates/grouping/src/lib.rs
@@ -45,7 +45,7 @@
 pub use lifecycle::{ScanScope, advance_groups, full_scan_interval_ms, reap_instances, release_members};
 pub use observations::Observations;
 pub use orders::{OrderKind, OrderTracker};
-pub use places::{GroupPlaces, PlaceLedger};
+pub use places::{GroupPlaces, PlaceAllocator};
 pub use plan::{Plan, plan, plan_interval_ms};
 pub use scope::ScopeDispatch;
 pub use slow_members::replace_slow_members;
--- a/crates/grouping/src/places.rs
+++ b/crates/grouping/src/places.rs
@@ -43,13 +43,13 @@
 
 /// The allowances of all entries at each group.
 #[derive(Clone, Debug, Default)]
-pub struct PlaceLedger {
+pub struct PlaceAllocator {
     entries: BTreeMap<String, EntryAllowance>,
     expected_entries: u32,
     granted: BTreeMap<u64, u32>,
 }
 
-impl PlaceLedger {
+impl PlaceAllocator {
     /// Sets the number of entries, including those that have not reported yet, so that the first one to
     /// report isn't granted all places.
     pub fn expect_entries(&mut self, entries: u32) {
--- a/crates/grouping/tests/places.rs
+++ b/crates/grouping/tests/places.rs
@@ -1,7 +1,7 @@
 //! Places at groups are granted to one entry only, and preferably to entries with requests.
 
 use dockwood_api::gateway::{EventPace, GroupLoad, ModelLoad};
-use dockwood_grouping::{GroupPlaces, PlaceLedger};
+use dockwood_grouping::{GroupPlaces, PlaceAllocator};
 use std::collections::BTreeMap;
 
 const EPOCH: u64 = 7;
@@ -48,7 +48,7 @@
         Entry { name: format!("entry-{number}"), held: 0, allowance: 0 }
     }
 
-    fn exchange(&mut self, ledger: &mut PlaceLedger, now: u64, models: &[ModelLoad]) {
+    fn exchange(&mut self, ledger: &mut PlaceAllocator, now: u64, models: &[ModelLoad]) {
         let grants = ledger.exchange(now, &self.name, &in_flight(self.held), models, [group()].into_iter());
         self.allowance = self.held + grants[&EPOCH];
     }
@@ -56,7 +56,7 @@
 
 #[test]
 fn an_idle_group_has_places_for_every_entry() {
-    let mut ledger = PlaceLedger::default();
+    let mut ledger = PlaceAllocator::default();
     let mut entries: Vec<Entry> = (0..4).map(Entry::named).collect();
     for now in [0, 60] {
         entries.iter_mut().for_each(|entry| entry.exchange(&mut ledger, now, &[]));
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_last_free_place_goes_to_one_entry_with_a_request() {
-    let mut ledger = PlaceLedger::default();
+    let mut ledger = PlaceAllocator::default();
     ledger.exchange(0, "full", &in_flight(PLACES - 1), &[], [group()].into_iter());
     let idle = ledger.exchange(1, "idle", &[], &[], [group()].into_iter());
     assert_eq!(idle[&EPOCH], 0, "an idle entry has no request");
@@ -78,7 +78,7 @@
 
 #[test]
 fn places_of_a_missing_entry_expire() {
-    let mut ledger = PlaceLedger::default();
+    let mut ledger = PlaceAllocator::default();
     ledger.exchange(0, "gone", &in_flight(PLACES), &one_request(), [group()].into_iter());
     let before = ledger.exchange(1_000, "other", &[], &one_request(), [group()].into_iter());
     let after = ledger.exchange(2_000, "other", &[], &one_request(), [group()].into_iter());
@@ -87,7 +87,7 @@
 
 #[test]
 fn closed_groups_are_removed() {
-    let mut ledger = PlaceLedger::default();
+    let mut ledger = PlaceAllocator::default();
     ledger.exchange(0, "a", &in_flight(PLACES), &one_request(), [group()].into_iter());
     let none: BTreeMap<u64, u32> = ledger.exchange(1, "a", &[], &one_request(), std::iter::empty());
     assert!(none.is_empty());
@@ -99,7 +99,7 @@
 /// came 0.9 s late.
 #[test]
 fn all_entries_together_never_exceed_the_places_of_a_group() {
-    let mut ledger = PlaceLedger::default();
+    let mut ledger = PlaceAllocator::default();
     let mut entries: Vec<Entry> = (0..12).map(Entry::named).collect();
     let mut random = 12_345_u64;
     let mut next = |below: u64| {
@@ -127,7 +127,7 @@
 fn an_entry_gets_no_more_places_than_it_can_use() {
     const ENTRIES: u64 = 95;
     let groups = || (1..=40_u64).map(|epoch| GroupPlaces { epoch, service: "s", model: "m", places: 16 });
-    let mut ledger = PlaceLedger::default();
+    let mut ledger = PlaceAllocator::default();
     ledger.expect_entries(ENTRIES as u32);
     let mut refused = 0;
     let mut requests_with_grant = 0;
