--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -127,7 +127,7 @@
             && started_ms > known
         {
             let former_group = tables.group_of(&report.id).map(|group| group.epoch);
-            self.observations.begin_again(&report.id, started_ms, former_group);
+            self.observations.reset_restarted_instance(&report.id, started_ms, former_group);
         }
         if let Some(group) = tables.group_of(&report.id) {
             self.orders.touch(group.epoch);
--- a/crates/grouping/src/observations.rs
+++ b/crates/grouping/src/observations.rs
@@ -101,7 +101,7 @@
 
     /// Resets the observations of a server that has restarted under its id. Those of the former process say
     /// nothing about the new one, except that it has left the group that the former process was in.
-    pub fn begin_again(&mut self, instance: &str, started_ms: u64, former_group: Option<u64>) {
+    pub fn reset_restarted_instance(&mut self, instance: &str, started_ms: u64, former_group: Option<u64>) {
         let Some(seen) = self.instances.get_mut(instance) else { return };
         *seen = InstanceObservation {
             started_ms: Some(started_ms),
