--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -214,7 +214,7 @@
 
     /// Extends all instances by the time for which this leader received nothing.
     pub fn excuse(&mut self, now: Millis, late: Millis) {
-        self.observations.excuse(now, late);
+        self.observations.extend_deadlines(now, late);
     }
 
     /// Notes what came of a probe, and how many times its declared times the instance takes, if it reported that.
--- a/crates/grouping/src/observations.rs
+++ b/crates/grouping/src/observations.rs
@@ -380,7 +380,7 @@
     }
 
     /// Extends the deadlines of all instances by the time for which the observer received nothing.
-    pub fn excuse(&mut self, now: Millis, late: Millis) {
+    pub fn extend_deadlines(&mut self, now: Millis, late: Millis) {
         for seen in self.instances.values_mut() {
             seen.reported_at = now.min(seen.reported_at + late);
         }
