--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -305,7 +305,7 @@
         let mut probes: Vec<InstanceProbe> = rows.map(|row| probe_of(row)).collect();
         probes.extend(self.slowness_probes(now, tables));
         probes.extend(self.successors.due_probes(tables));
-        for epoch in self.observations.silent_groups(now) {
+        for epoch in self.observations.stalled_groups(now) {
             let group = tables.groups.get(&epoch).filter(|group| group.phase == GroupPhase::Open);
             let Some(group) = group else { continue };
             if !self.observations.claim_probe(now, epoch, PROBE_PAUSE_MS) {
--- a/crates/grouping/src/observations.rs
+++ b/crates/grouping/src/observations.rs
@@ -298,7 +298,7 @@
     }
 
     /// Groups that entries currently report as stalled.
-    pub fn silent_groups(&mut self, now: Millis) -> Vec<u64> {
+    pub fn stalled_groups(&mut self, now: Millis) -> Vec<u64> {
         let reported = std::mem::take(&mut self.stalled);
         let is_recent = |epoch: &u64| {
             let stalled_at = self.groups.get(epoch).and_then(|evidence| evidence.stalled_at);
