--- a/crates/daemon/src/gateway/cold.rs
+++ b/crates/daemon/src/gateway/cold.rs
@@ -61,13 +61,13 @@
 
     /// Whether this entry may send a request to a plain server now.
     pub fn may_give(&self, now: Millis, server: &str, rate: SendRate) -> bool {
-        lock(&self.pacing).may_give(now, &server.to_string(), rate)
+        lock(&self.pacing).may_send(now, &server.to_string(), rate)
     }
 
     /// Notes that a plain server gets a request, if this entry may send it one now.
     pub fn try_give(&self, now: Millis, server: &str, rate: SendRate) -> bool {
         let (mut pacing, server) = (lock(&self.pacing), server.to_string());
-        let may_give = pacing.may_give(now, &server, rate);
+        let may_give = pacing.may_send(now, &server, rate);
         if may_give {
             pacing.give(now, &server, rate);
         }
--- a/crates/grouping/src/cold_start.rs
+++ b/crates/grouping/src/cold_start.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether a server may be sent a request now. `rate` is this sender's share.
-    pub fn may_give(&self, now: Millis, server: &K, rate: SendRate) -> bool {
+    pub fn may_send(&self, now: Millis, server: &K, rate: SendRate) -> bool {
         let limited = self.histories.get(server).filter(|history| history.is_limited(now));
         let Some(history) = limited else { return true };
         let factor = if history.is_cold { 1 } else { SLOW_START_FACTOR };
--- a/crates/grouping/src/dispatch.rs
+++ b/crates/grouping/src/dispatch.rs
@@ -201,7 +201,7 @@
         // All groups are observed, so that the end of each cold phase is noticed.
         groups.iter().for_each(|group| self.cold.observe(now, &group.epoch, group.head_is_cold));
         let is_within_cold_rate = |group: &&&Arc<GroupRow>| {
-            cold_rate.is_none_or(|rate| self.cold.may_give(now, &group.epoch, rate))
+            cold_rate.is_none_or(|rate| self.cold.may_send(now, &group.epoch, rate))
         };
         let evaluations: Vec<Result<Candidate, Rejection>> = groups
             .iter()
--- a/crates/grouping/tests/cold_start.rs
+++ b/crates/grouping/tests/cold_start.rs
@@ -239,7 +239,7 @@
     let mut sent = Vec::new();
     for now in 10_000..16_000 {
         pacing.observe(now, &"server", true);
-        if pacing.may_give(now, &"server", rate) {
+        if pacing.may_send(now, &"server", rate) {
             pacing.give(now, &"server", rate);
             sent.push(now);
         }
