--- a/crates/daemon/src/gateway/cold.rs
+++ b/crates/daemon/src/gateway/cold.rs
@@ -69,7 +69,7 @@
         let (mut pacing, server) = (lock(&self.pacing), server.to_string());
         let may_give = pacing.may_send(now, &server, rate);
         if may_give {
-            pacing.give(now, &server, rate);
+            pacing.record_send(now, &server, rate);
         }
         may_give
     }
--- a/crates/grouping/src/cold_start.rs
+++ b/crates/grouping/src/cold_start.rs
@@ -171,7 +171,7 @@
 
     /// Records that a request is sent to a server now. Warm servers are recorded too, as they may become cold
     /// at any moment.
-    pub fn give(&mut self, now: Millis, server: &K, rate: SendRate) {
+    pub fn record_send(&mut self, now: Millis, server: &K, rate: SendRate) {
         let history = self.histories.entry(server.clone()).or_default();
         history.sent_at.push_back(now);
         while history.sent_at.len() > rate.times(SLOW_START_FACTOR).requests as usize {
--- a/crates/grouping/src/dispatch.rs
+++ b/crates/grouping/src/dispatch.rs
@@ -223,7 +223,7 @@
 
     fn record_assignment(&mut self, context: &RequestContext<'_>, epoch: u64) {
         if let Some(rate) = context.cold_rate {
-            self.cold.give(context.now, &epoch, rate);
+            self.cold.record_send(context.now, &epoch, rate);
         }
         let queue = self.queues.entry(epoch).or_default();
         queue.reading_until_ms = queue.reading_until_ms.max(context.now as f64) + context.reading_ms();
--- a/crates/grouping/tests/cold_start.rs
+++ b/crates/grouping/tests/cold_start.rs
@@ -240,7 +240,7 @@
     for now in 10_000..16_000 {
         pacing.observe(now, &"server", true);
         if pacing.may_send(now, &"server", rate) {
-            pacing.give(now, &"server", rate);
+            pacing.record_send(now, &"server", rate);
             sent.push(now);
         }
     }
