--- a/crates/grouping/src/capacity_balance.rs
+++ b/crates/grouping/src/capacity_balance.rs
@@ -39,7 +39,7 @@
     /// Number of groups that the requests need.
     need: Vec<f64>,
     /// Number of groups that serve or soon will.
-    held: Vec<f64>,
+    available: Vec<f64>,
     /// Weight of each model.
     weights: ModelWeights,
 }
@@ -48,7 +48,7 @@
     /// The balance of a service with this number of `servers`. Need is derived from the demand, or from the
     /// declared shares until enough requests have been seen.
     pub fn new(view: &View<'_>, service: &str, engine: &EngineProfile, servers: usize) -> CapacityBalance {
-        let mut held = vec![0.0; engine.models.len()];
+        let mut available = vec![0.0; engine.models.len()];
         let groups = view.tables.groups.values();
         let is_counted = |group: &&Arc<GroupRow>| {
             group.service == service && counts_as_capacity(group) && !view.tables.is_evacuated(&group.zone)
@@ -60,35 +60,39 @@
             if let Some(position) = position {
                 let fraction = available_fraction(held_back.get(&group.epoch).copied().unwrap_or(0));
                 let model = &engine.models[position];
-                held[position] +=
+                available[position] +=
                     fraction * fraction_within_limit(view, group, engine, model, demand.as_ref());
             }
         }
         let need = groups_needed(demand.as_ref(), engine, servers);
-        CapacityBalance { need, held, weights: ModelWeights::new(&request_rates(demand.as_ref(), engine)) }
+        CapacityBalance {
+            need,
+            available,
+            weights: ModelWeights::new(&request_rates(demand.as_ref(), engine)),
+        }
     }
 
     /// The average utility over the horizon if these changes happen.
     pub fn utility(&self, changes: &[CapacityChange]) -> f64 {
         let mut by_time: Vec<&CapacityChange> = changes.iter().collect();
         by_time.sort_by_key(|change| change.after_ms);
-        let mut held = self.held.clone();
+        let mut available = self.available.clone();
         let mut elapsed_ms = 0.0;
         let mut sum = 0.0;
         for change in by_time {
             let change_ms = (change.after_ms as f64).min(HORIZON_MS);
             if change_ms > elapsed_ms {
-                sum += (change_ms - elapsed_ms) * self.utility_of(&held);
+                sum += (change_ms - elapsed_ms) * self.utility_of(&available);
                 elapsed_ms = change_ms;
             }
-            held[change.model] += change.groups;
+            available[change.model] += change.groups;
         }
-        (sum + (HORIZON_MS - elapsed_ms) * self.utility_of(&held)) / HORIZON_MS
+        (sum + (HORIZON_MS - elapsed_ms) * self.utility_of(&available)) / HORIZON_MS
     }
 
     /// The utility of the models holding these numbers of groups.
-    fn utility_of(&self, held: &[f64]) -> f64 {
-        let coverages = held.iter().zip(&self.need).map(|(held, need)| held.max(0.0) / need);
+    fn utility_of(&self, available: &[f64]) -> f64 {
+        let coverages = available.iter().zip(&self.need).map(|(available, need)| available.max(0.0) / need);
         self.weights.utility(coverages)
     }
 
@@ -97,7 +101,7 @@
     pub fn apply(&mut self, changes: &[CapacityChange]) {
         for change in changes {
             let fraction = (1.0 - change.after_ms as f64 / HORIZON_MS).max(0.0);
-            self.held[change.model] += change.groups * fraction;
+            self.available[change.model] += change.groups * fraction;
         }
     }
 
--- a/crates/grouping/src/lifecycle.rs
+++ b/crates/grouping/src/lifecycle.rs
@@ -46,10 +46,11 @@
 /// Commands that advance groups to their next phase.
 pub fn advance_groups(
     view: &View<'_>,
-    scrutiny: ScanScope,
+    scan_scope: ScanScope,
     closing_since: impl Fn(u64) -> Millis,
 ) -> Vec<GatewayCommand> {
-    let is_examined = |group: &&Arc<GroupRow>| scrutiny == ScanScope::All || group.phase != GroupPhase::Open;
+    let is_examined =
+        |group: &&Arc<GroupRow>| scan_scope == ScanScope::All || group.phase != GroupPhase::Open;
     let groups = view.tables.groups.values().filter(is_examined);
     groups.filter_map(|group| advance(view, group, closing_since(group.epoch))).collect()
 }
@@ -61,7 +62,7 @@
     let end = |reason: &str| Some(GatewayCommand::End { epoch: group.epoch, reason: reason.to_string() });
     match group.phase {
         GroupPhase::Forming => match member_problem(view, group) {
-            Some(MemberProblem::Lost(why) | MemberProblem::Leaving(why)) => end(&why),
+            Some(MemberProblem::Lost(reason) | MemberProblem::Leaving(reason)) => end(&reason),
             None if !all_ready(view, group) => None,
             None if group.purpose == GroupPurpose::Preload => {
                 Some(GatewayCommand::Preloaded { epoch: group.epoch })
@@ -69,25 +70,27 @@
             None => phase(GroupPhase::Opening, "all members are ready"),
         },
         GroupPhase::Opening => match member_problem(view, group) {
-            Some(MemberProblem::Lost(why) | MemberProblem::Leaving(why)) => phase(GroupPhase::Cutting, &why),
+            Some(MemberProblem::Lost(reason) | MemberProblem::Leaving(reason)) => {
+                phase(GroupPhase::Cutting, &reason)
+            }
             None if head_state(view, group) == Some(MembershipState::Open) => {
                 phase(GroupPhase::Open, "the head is open")
             }
             None => None,
         },
         GroupPhase::Open => match member_problem(view, group) {
-            Some(MemberProblem::Lost(why)) => phase(GroupPhase::Cutting, &why),
+            Some(MemberProblem::Lost(reason)) => phase(GroupPhase::Cutting, &reason),
             Some(MemberProblem::Leaving(_)) => {
-                drain_reason(view, group).and_then(|why| phase(GroupPhase::Draining, &why))
+                drain_reason(view, group).and_then(|reason| phase(GroupPhase::Draining, &reason))
             }
             None => None,
         },
         GroupPhase::Draining => {
-            if let Some(why) = confirmed_closure(view, group, closing_since) {
-                return end(why);
+            if let Some(reason) = confirmed_closure(view, group, closing_since) {
+                return end(reason);
             }
             match member_problem(view, group) {
-                Some(MemberProblem::Lost(why)) => phase(GroupPhase::Cutting, &why),
+                Some(MemberProblem::Lost(reason)) => phase(GroupPhase::Cutting, &reason),
                 _ => None,
             }
         }
--- a/crates/grouping/tests/lifecycle.rs
+++ b/crates/grouping/tests/lifecycle.rs
@@ -223,8 +223,8 @@
         let head = cluster.tables.groups[&epoch].members[0].clone();
         cluster.report_membership(&head, epoch, MembershipState::Broken, &[SMALL]);
     }
-    let advanced = |scrutiny| {
-        let commands = advance_groups(&cluster.view(), scrutiny, |_| 0);
+    let advanced = |scan_scope| {
+        let commands = advance_groups(&cluster.view(), scan_scope, |_| 0);
         commands.iter().filter(|command| matches!(command, GatewayCommand::SetPhase { .. })).count()
     };
     assert_eq!(advanced(ScanScope::Unsettled), 1, "only the draining group");
