--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -8,9 +8,9 @@
     SharedGroupLoad,
 };
 use dockwood_grouping::{
-    ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderBook, OrderKind, PlaceLedger,
-    ProbeResult, Scrutiny, View, advance_groups, places_of_group, plan, plan_pause_ms, reap_instances,
-    release_members, replace_slow_members, scrutiny_pause_ms,
+    ColdLimit, Dispatcher, GroupPlaces, GroupingPolicy, Observations, OrderKind, OrderTracker,
+    PlaceAllocator, ProbeResult, ScanScope, View, advance_groups, full_scan_interval_ms, places_of_group,
+    plan, plan_interval_ms, reap_instances, release_members, replace_slow_members,
 };
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupRow, InstanceRow};
 use imbl::OrdMap;
@@ -47,9 +47,9 @@
 #[derive(Debug, Default)]
 pub struct GatewayLeadership {
     observations: Observations,
-    places: PlaceLedger,
+    places: PlaceAllocator,
     dispatcher: Dispatcher,
-    orders: OrderBook,
+    orders: OrderTracker,
     /// Members that left an order to join unanswered, to be asked whether they are alive.
     unanswered: BTreeSet<String>,
     successors: Successors,
@@ -127,7 +127,7 @@
             && started_ms > known
         {
             let former_group = tables.group_of(&report.id).map(|group| group.epoch);
-            self.observations.begin_again(&report.id, started_ms, former_group);
+            self.observations.reset_restarted_instance(&report.id, started_ms, former_group);
         }
         if let Some(group) = tables.group_of(&report.id) {
             self.orders.touch(group.epoch);
@@ -214,7 +214,7 @@
 
     /// Extends all instances by the time for which this leader received nothing.
     pub fn excuse(&mut self, now: Millis, late: Millis) {
-        self.observations.excuse(now, late);
+        self.observations.extend_deadlines(now, late);
     }
 
     /// Notes what came of a probe, and how many times its declared times the instance takes, if it reported that.
@@ -249,12 +249,12 @@
         self.follow(now, tables);
         let view = View { tables, observations: &self.observations, now, policy };
         let looks_at_all = now >= self.scrutiny_at;
-        let scrutiny = if looks_at_all { Scrutiny::All } else { Scrutiny::Unsettled };
+        let scrutiny = if looks_at_all { ScanScope::All } else { ScanScope::Unsettled };
         let mut commands = self.successors.confirmed();
         commands.extend(advance_groups(&view, scrutiny, |epoch| self.orders.closing_since(now, epoch)));
         commands.extend(release_members(&view, |epoch| self.orders.closing_since(now, epoch)));
         if looks_at_all {
-            self.scrutiny_at = now + scrutiny_pause_ms(tables.instances.len());
+            self.scrutiny_at = now + full_scan_interval_ms(tables.instances.len());
             let decided: BTreeSet<u64> = commands.iter().filter_map(decided_group).collect();
             commands.extend(replace_slow_members(&view, |epoch| decided.contains(&epoch)));
             commands.extend(reap_instances(&view));
@@ -265,8 +265,8 @@
         // A plan is made on settled tables only: what was decided is committed first.
         if commands.is_empty() && now >= self.plan_at {
             let plan = plan(&view, self.orders.staging());
-            self.plan_at = now + plan_pause_ms(tables.instances.len());
-            self.orders.wish(plan.staging);
+            self.plan_at = now + plan_interval_ms(tables.instances.len());
+            self.orders.set_staging_requests(plan.staging);
             commands = plan.commands;
         }
         commands
@@ -294,7 +294,7 @@
         term: u64,
     ) -> Vec<GroupOrder> {
         let view = View { tables, observations: &self.observations, now, policy };
-        self.orders.to_send(&view, term)
+        self.orders.due_orders(&view, term)
     }
 
     /// Members of silent or slow groups, slow servers, those that left an order to join unanswered, and instances that
@@ -305,7 +305,7 @@
         let mut probes: Vec<InstanceProbe> = rows.map(|row| probe_of(row)).collect();
         probes.extend(self.slowness_probes(now, tables));
         probes.extend(self.successors.due_probes(tables));
-        for epoch in self.observations.silent_groups(now) {
+        for epoch in self.observations.stalled_groups(now) {
             let group = tables.groups.get(&epoch).filter(|group| group.phase == GroupPhase::Open);
             let Some(group) = group else { continue };
             if !self.observations.claim_probe(now, epoch, PROBE_PAUSE_MS) {
