--- a/crates/control/src/successors.rs
+++ b/crates/control/src/address_takeovers.rs
@@ -1,7 +1,8 @@
-//! Instances that report from an address where another one was seen recently. Usually the other one has crashed and this
-//! is its next start. It may also be a former start whose reports reached nobody before it crashed, and one of them
-//! now, late: it must not replace the instance that runs. So the address is asked who answers there, and only its word
-//! that it is the one that reported brings that one in, or a silence of the other that is long enough.
+//! Handles instances that report from an address that was recently used by another instance. Usually the
+//! other one has crashed and this is its restart. But it may also be an earlier start whose reports reached
+//! nobody before it crashed, and one of them arrives late: it must not replace the running instance. So the
+//! address is probed, and the instance is only admitted if the address confirms its identity, or if the other
+//! one has been silent for long enough.
 
 use crate::Millis;
 use crate::gateway::{InstanceProbe, ProbeQuestion};
@@ -10,54 +11,54 @@
 use dockwood_state::{GatewayCommand, GatewayTables, InstanceRow};
 use std::collections::BTreeMap;
 
-/// An instance that is to be asked, or has been.
+/// An instance that waits for a probe or its result.
 #[derive(Clone, Debug)]
 struct Candidate {
     row: InstanceRow,
-    is_asked: bool,
+    is_probed: bool,
 }
 
-/// Instances whose report waits for the word of their address. Local to a leader: one that is not answered reports
-/// again.
+/// Instances whose report waits for the confirmation of their address. Local to a leader: an instance whose
+/// report is lost reports again.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Successors {
+pub(crate) struct AddressTakeovers {
     candidates: BTreeMap<String, Candidate>,
     confirmed: Vec<GatewayCommand>,
 }
 
-impl Successors {
-    /// Whether an unknown instance reports from the address of one that takes part and was seen recently.
-    pub(crate) fn is_doubtful(
+impl AddressTakeovers {
+    /// Whether an unknown instance reports from the address of an active one that was seen recently.
+    pub(crate) fn needs_probe(
         &self,
         now: Millis,
         tables: &GatewayTables,
         observations: &Observations,
         row: &InstanceRow,
     ) -> bool {
-        let was_heard = |held: &InstanceRow| {
+        let is_recent = |held: &InstanceRow| {
             let seen = observations.instance(&held.id).filter(|seen| seen.silent_since.is_none());
             seen.is_some_and(|seen| now < seen.reported_at + observations.heartbeat().recent_ms())
         };
         let at_address = tables.instances.values().filter(|held| held.address == row.address);
-        at_address.into_iter().any(|held| held.state == InstanceState::Ready && was_heard(held))
+        at_address.into_iter().any(|held| held.state == InstanceState::Ready && is_recent(held))
     }
 
-    /// Notes that the address of an instance is to be asked. Of its reports the last counts; but one that is leaving
-    /// doesn't come back, and a report that says so is a late one.
-    pub(crate) fn ask_about(&mut self, mut row: InstanceRow) {
+    /// Records an instance whose address has to be probed. Its latest report counts, except that an instance
+    /// that is leaving can't become ready again: a report that says so is a late one.
+    pub(crate) fn add(&mut self, mut row: InstanceRow) {
         let known = self.candidates.get(&row.id);
-        let is_asked = known.is_some_and(|candidate| candidate.is_asked);
+        let is_probed = known.is_some_and(|candidate| candidate.is_probed);
         if known.is_some_and(|candidate| candidate.row.state == InstanceState::Draining) {
             row.state = InstanceState::Draining;
         }
-        self.candidates.insert(row.id.clone(), Candidate { row, is_asked });
+        self.candidates.insert(row.id.clone(), Candidate { row, is_probed });
     }
 
-    /// Instances to be asked now, each once.
+    /// Returns the probes to send now, one per instance.
     pub(crate) fn due_probes(&mut self, tables: &GatewayTables) -> Vec<InstanceProbe> {
-        let waiting = self.candidates.values_mut().filter(|candidate| !candidate.is_asked);
+        let unprobed = self.candidates.values_mut().filter(|candidate| !candidate.is_probed);
         let probe = |candidate: &mut Candidate| {
-            candidate.is_asked = true;
+            candidate.is_probed = true;
             let row = &candidate.row;
             let service = tables.configuration.as_ref().and_then(|held| held.service(&row.service));
             let health_path = service.map_or("/", |service| &service.health_path);
@@ -68,22 +69,22 @@
                 question: ProbeQuestion::AnswersAt(health_path.to_string()),
             }
         };
-        waiting.map(probe).collect()
+        unprobed.map(probe).collect()
     }
 
-    /// Takes the result of a probe; false if the instance was asked for another reason.
-    pub(crate) fn answered(&mut self, instance: &str, result: ProbeResult) -> bool {
+    /// Records a probe result; false if the instance was probed for another reason.
+    pub(crate) fn record_probe_result(&mut self, instance: &str, result: ProbeResult) -> bool {
         let Some(candidate) = self.candidates.remove(instance) else { return false };
-        // Taking the other's place bars it for good, and neither silence nor a refusal proves that it has gone. This
-        // one reports again.
+        // Replacing the other instance excludes it for good, and neither silence nor a refused connection
+        // proves that it is gone. If it is, this instance reports again.
         if result == ProbeResult::Answered {
             self.confirmed.push(GatewayCommand::Register(candidate.row));
         }
         true
     }
 
-    /// The instances that take the place of another one now.
-    pub(crate) fn confirmed(&mut self) -> Vec<GatewayCommand> {
+    /// Takes the registrations of instances that replace another one now.
+    pub(crate) fn take_confirmed(&mut self) -> Vec<GatewayCommand> {
         std::mem::take(&mut self.confirmed)
     }
 }
--- a/crates/control/src/blackboard.rs
+++ b/crates/control/src/blackboard.rs
@@ -1,4 +1,4 @@
-//! The blackboard: replicated tables beside what this process observes. The control thread owns it.
+//! The blackboard: the replicated tables together with local observations. The control thread owns it.
 
 use crate::Millis;
 use crate::catch_up::RetainedCommands;
@@ -8,7 +8,7 @@
 use dockwood_state::{Applied, Command, State, Tables, encode_command};
 use std::collections::BTreeSet;
 
-/// What only this process has seen; never replicated.
+/// Observations of this process; never replicated.
 #[derive(Debug, Default)]
 pub struct Observed {
     /// Reports on machines.
@@ -17,18 +17,18 @@
     pub idle_replicas: BTreeSet<(String, u64)>,
 }
 
-/// The three parts of the blackboard: desired and assigned (both within `state`), and observed.
+/// Desired and assigned state (both within `state`) and observed state.
 #[derive(Debug, Default)]
 pub struct Blackboard {
-    /// Replicated.
+    /// Replicated state.
     pub state: State,
-    /// Local.
+    /// Local observations.
     pub observed: Observed,
     commands: RetainedCommands,
 }
 
 impl Blackboard {
-    /// A blackboard that starts from a stored state.
+    /// Creates a blackboard from a stored state.
     pub fn new(state: State) -> Self {
         let commands = RetainedCommands::starting_at(state.tables.revision);
         Blackboard { state, commands, ..Blackboard::default() }
@@ -39,12 +39,12 @@
         &self.state.tables
     }
 
-    /// Newest revision.
+    /// The newest applied revision.
     pub fn revision(&self) -> u64 {
         self.state.tables.revision
     }
 
-    /// Applies a command and keeps its encoding for daemons that lag.
+    /// Applies a command and retains its encoding for lagging daemons.
     pub fn apply(&mut self, command: &Command) -> Applied {
         let applied = self.state.apply(command);
         if command.body.is_configuration()
@@ -55,8 +55,9 @@
         applied
     }
 
-    /// Applies a command that made `revision` where it was committed, after all that this daemon needs of what came
-    /// before, and keeps `encoded`, as it came. `None` if this daemon has that revision already.
+    /// Applies a command at the revision that it was committed with. All earlier commands that this daemon
+    /// needs must have been applied. Retains `encoded` as received. `None` if this daemon already has the
+    /// revision.
     pub fn apply_at(&mut self, revision: u64, command: &Command, encoded: Vec<u8>) -> Option<Applied> {
         if revision <= self.revision() {
             return None;
@@ -66,12 +67,12 @@
         Some(self.state.apply(command))
     }
 
-    /// Notes that nothing this daemon needs was changed up to `revision`.
+    /// Advances the revision; no command up to `revision` is relevant to this daemon.
     pub fn advance_to(&mut self, revision: u64) {
         self.state.tables.revision = self.state.tables.revision.max(revision);
     }
 
-    /// Replaces the state, unless it is older than the one held: revisions never go back.
+    /// Replaces the state, unless it is older than the current one: revisions never decrease.
     pub fn restore(&mut self, encoded: &[u8]) -> Result<bool, ApiError> {
         let state = State::decode(encoded)?;
         if state.tables.revision < self.revision() {
@@ -82,12 +83,12 @@
         Ok(true)
     }
 
-    /// The newest commands, for daemons that lag.
+    /// The newest commands, for lagging daemons.
     pub fn commands(&self) -> &RetainedCommands {
         &self.commands
     }
 
-    /// What placement looks at.
+    /// The input of placement.
     pub fn fleet(&self, now: Millis, policy: PlacementPolicy) -> Fleet<'_> {
         Fleet {
             tables: self.tables(),
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Forgets observations on what no longer exists.
-    pub fn forget_gone(&mut self) {
+    /// Drops observations of objects that no longer exist.
+    pub fn drop_stale_observations(&mut self) {
         let tables = &self.state.tables;
         self.observed.machines.retain(|server| tables.server(server).is_some());
         let current =
--- a/crates/control/src/catch_up.rs
+++ b/crates/control/src/catch_up.rs
@@ -1,8 +1,8 @@
-//! How daemons that lag catch up: by the commands that they lack, or by the whole state where that is less.
+//! Brings lagging daemons up to date, with the commands that they lack or with a snapshot if that is smaller.
 //!
-//! After a restart of many daemons all of them ask for the whole state at once. What they are sent shares the leader's
-//! link with its heartbeats, so it is paced: a leader whose heartbeats are late loses its majority, and the next one is asked
-//! for everything again.
+//! After a restart of many daemons all of them request the whole state at once. The replies share the
+//! leader's link with its heartbeats, so they are rate limited: a leader whose heartbeats are late loses its
+//! majority, and its successor receives all the requests again.
 
 use crate::Millis;
 use crate::blackboard::Blackboard;
@@ -10,15 +10,17 @@
 use dockwood_api::peer::{LeaseContent, LeaseRequest, RevisedCommand};
 use std::collections::VecDeque;
 
-/// Encoded commands that are kept for daemons that lag; one that lacks more gets the whole state.
-const RETAINED_COMMANDS: usize = 4_096;
-/// Their size altogether, in bytes; the newest command is kept whatever its size.
-const RETAINED_BYTES: usize = 1 << 20;
-/// Commands up to this size are sent without a look at the size of the state, in bytes: it need not be encoded then.
+/// Maximum number of retained commands; a daemon that lacks more gets a snapshot.
+const MAX_RETAINED_COMMANDS: usize = 4_096;
+/// Maximum total size of the retained commands in bytes; the newest command is kept whatever its size.
+const MAX_RETAINED_BYTES: usize = 1 << 20;
+/// Commands up to this total size in bytes are sent without comparing them with a snapshot, which then need
+/// not be encoded.
 const CHEAP_BYTES: usize = 32 << 10;
-/// Bytes to daemons that start, each second: half of a link of 100 Mbit/s. What goes to others counts as well.
-const PACE_BYTES_PER_SECOND: u64 = 6_000_000;
-/// Bytes to daemons that start which may be sent at once.
+/// Rate limit for replies to starting daemons: half of a 100 Mbit/s link. Replies to other daemons count
+/// towards it.
+const RATE_BYTES_PER_SECOND: u64 = 6_000_000;
+/// Burst size of the rate limit.
 const BURST_BYTES: i64 = 512 << 10;
 
 /// The newest commands that daemons need, encoded and compressed.
@@ -26,43 +28,43 @@
 pub struct RetainedCommands {
     commands: VecDeque<RevisedCommand>,
     bytes: usize,
-    /// All that daemons need after this revision is kept.
+    /// All relevant commands after this revision are retained.
     complete_after: u64,
 }
 
 impl RetainedCommands {
-    /// Nothing is kept yet; the state is at `revision`.
+    /// Creates an empty buffer for a state at `revision`.
     pub fn starting_at(revision: u64) -> Self {
         RetainedCommands { complete_after: revision, ..RetainedCommands::default() }
     }
 
-    /// Keeps the command that made a revision, and drops the oldest ones beyond the bounds.
+    /// Retains the command of a revision and drops the oldest ones beyond the limits.
     pub fn push(&mut self, revision: u64, command: Vec<u8>) {
         self.bytes += command.len();
         self.commands.push_back(RevisedCommand { revision, command });
-        while self.commands.len() > 1 && self.exceeds_bounds() {
+        while self.commands.len() > 1 && self.exceeds_limits() {
             let Some(oldest) = self.commands.pop_front() else { return };
             self.bytes -= oldest.command.len();
             self.complete_after = oldest.revision;
         }
     }
 
-    fn exceeds_bounds(&self) -> bool {
-        self.commands.len() > RETAINED_COMMANDS || self.bytes > RETAINED_BYTES
+    fn exceeds_limits(&self) -> bool {
+        self.commands.len() > MAX_RETAINED_COMMANDS || self.bytes > MAX_RETAINED_BYTES
     }
 
-    /// The revision of the newest command up to a revision, of those that are kept.
+    /// The newest retained revision that is not above `revision`.
     pub fn newest_up_to(&self, revision: u64) -> Option<u64> {
         self.commands.iter().rev().map(|kept| kept.revision).find(|kept| *kept <= revision)
     }
 
-    /// The size of the commands after a revision, if they are all still kept.
+    /// Total size of the commands after a revision, or `None` if some of them are no longer retained.
     pub fn bytes_after(&self, revision: u64) -> Option<usize> {
         let is_complete = self.complete_after <= revision;
-        is_complete.then(|| self.lacking(revision).map(|kept| kept.command.len()).sum())
+        is_complete.then(|| self.newer_than(revision).map(|kept| kept.command.len()).sum())
     }
 
-    /// The oldest revision after which all commands are kept and cheap to send.
+    /// The oldest revision after which all commands are retained and cheap to send.
     pub fn cheap_after(&self) -> u64 {
         let mut bytes = 0;
         for kept in self.commands.iter().rev() {
@@ -76,99 +78,100 @@
 
     /// The commands after a revision.
     pub fn after(&self, revision: u64) -> Vec<RevisedCommand> {
-        let mut commands: Vec<RevisedCommand> = self.lacking(revision).cloned().collect();
+        let mut commands: Vec<RevisedCommand> = self.newer_than(revision).cloned().collect();
         commands.reverse();
         commands
     }
 
-    /// The commands after a revision, the newest first.
-    fn lacking(&self, revision: u64) -> impl Iterator<Item = &RevisedCommand> {
+    /// The commands after a revision, newest first.
+    fn newer_than(&self, revision: u64) -> impl Iterator<Item = &RevisedCommand> {
         self.commands.iter().rev().take_while(move |kept| kept.revision > revision)
     }
 }
 
-/// What a daemon that lags is answered.
+/// What to reply to a lagging daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Missing {
-    /// All that it lacks.
-    Sent(LeaseContent),
-    /// What it lacks is too large to be sent to it now.
-    Large,
+pub enum CatchUpReply {
+    /// Everything that it lacks.
+    Content(LeaseContent),
+    /// The missing content is too large to be sent to it now.
+    TooLarge,
 }
 
-/// The state as other daemons are sent it, encoded and compressed again only once what it lacks is no longer cheap to
-/// send: otherwise a fleet that starts while the state changes would have it encoded with each change.
+/// Cached snapshot for other daemons, encoded and compressed. Encoded again only once the commands after it
+/// are no longer cheap to send: otherwise it would be encoded for each change while a fleet starts.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EncodedState {
-    held: Option<(u64, Vec<u8>)>,
+pub(crate) struct SnapshotCache {
+    cached: Option<(u64, Vec<u8>)>,
 }
 
-impl EncodedState {
-    /// The state of this board, or a slightly older one, from which the rest is had by commands.
+impl SnapshotCache {
+    /// Returns a snapshot of the current state, or of a slightly older one that can be completed by commands.
     pub fn recent(&mut self, board: &Blackboard) -> &[u8] {
         let oldest = board.commands().cheap_after();
-        let recent = self.held.take().filter(|(encoded, _)| *encoded >= oldest);
+        let recent = self.cached.take().filter(|(encoded, _)| *encoded >= oldest);
         let encode = || (board.revision(), compress(&board.state.encode_for_followers()));
-        &self.held.insert(recent.unwrap_or_else(encode)).1
+        &self.cached.insert(recent.unwrap_or_else(encode)).1
     }
 }
 
-/// What a leader sends to daemons that lag.
+/// Selects what a leader sends to lagging daemons.
 #[derive(Clone, Debug)]
 pub struct CatchUp {
-    state: EncodedState,
-    /// Bytes that may be sent now; below zero after a copy that was larger.
-    allowance: i64,
+    snapshots: SnapshotCache,
+    /// Remaining budget of the rate limit; negative after a larger snapshot.
+    budget: i64,
     refilled_at: Millis,
 }
 
 impl CatchUp {
-    /// Nothing was sent yet.
+    /// Creates a limiter with a full budget.
     pub fn new(now: Millis) -> Self {
-        CatchUp { state: EncodedState::default(), allowance: BURST_BYTES, refilled_at: now }
+        CatchUp { snapshots: SnapshotCache::default(), budget: BURST_BYTES, refilled_at: now }
     }
 
-    /// What a daemon lacks, or what it has to wait for. `in_large_fleet` if what is large is not sent to each daemon.
+    /// Selects the content for a daemon. `in_large_fleet`: large content is not sent to each daemon
+    /// individually.
     pub fn content_for(
         &mut self,
         now: Millis,
         board: &Blackboard,
         request: &LeaseRequest,
         in_large_fleet: bool,
-    ) -> Missing {
+    ) -> CatchUpReply {
         let applied = request.applied_revision;
         if !request.wants_commands || applied >= board.revision() {
-            return Missing::Sent(LeaseContent::Commands { commands: Vec::new(), through: applied });
+            return CatchUpReply::Content(LeaseContent::Commands { commands: Vec::new(), through: applied });
         }
         self.refill(now);
-        // A daemon that has just started is in no hurry; to one that follows, a change must go out at once, to keep its lease.
+        // A daemon that has just started can wait; one that follows needs a change at once to keep its lease.
         let follows = applied > 0;
-        if !follows && self.allowance <= 0 {
-            return Missing::Large;
+        if !follows && self.budget <= 0 {
+            return CatchUpReply::TooLarge;
         }
         if let Some(bytes) = board.commands().bytes_after(applied) {
             let is_cheap = bytes <= CHEAP_BYTES;
-            if !is_cheap && in_large_fleet && self.allowance <= 0 {
-                return Missing::Large;
+            if !is_cheap && in_large_fleet && self.budget <= 0 {
+                return CatchUpReply::TooLarge;
             }
-            if is_cheap || (follows && bytes <= self.state.recent(board).len()) {
-                self.allowance -= bytes as i64;
+            if is_cheap || (follows && bytes <= self.snapshots.recent(board).len()) {
+                self.budget -= bytes as i64;
                 let commands = board.commands().after(applied);
-                return Missing::Sent(LeaseContent::Commands { commands, through: board.revision() });
+                return CatchUpReply::Content(LeaseContent::Commands { commands, through: board.revision() });
             }
         }
-        if self.allowance <= 0 {
-            return Missing::Large;
+        if self.budget <= 0 {
+            return CatchUpReply::TooLarge;
         }
-        let state = self.state.recent(board).to_vec();
-        self.allowance -= state.len() as i64;
-        Missing::Sent(LeaseContent::Snapshot(state))
+        let state = self.snapshots.recent(board).to_vec();
+        self.budget -= state.len() as i64;
+        CatchUpReply::Content(LeaseContent::Snapshot(state))
     }
 
     fn refill(&mut self, now: Millis) {
         let elapsed_ms = now.saturating_sub(self.refilled_at);
-        let earned = elapsed_ms.saturating_mul(PACE_BYTES_PER_SECOND) / 1_000;
-        self.allowance = self.allowance.saturating_add_unsigned(earned).min(BURST_BYTES);
+        let refill = elapsed_ms.saturating_mul(RATE_BYTES_PER_SECOND) / 1_000;
+        self.budget = self.budget.saturating_add_unsigned(refill).min(BURST_BYTES);
         self.refilled_at = now;
     }
 }
--- a/crates/control/src/core_outputs.rs
+++ b/crates/control/src/consensus_outputs.rs
@@ -1,10 +1,10 @@
-//! What a voter does with the outputs of its consensus core: stores and sends, applies what is committed, and takes up or
-//! lays down the leader's part.
+//! Processes the outputs of a voter's consensus core: persists and sends, applies committed entries, and
+//! handles role changes.
 
 use crate::driver_io::{Moment, Output};
-use crate::leader::Leadership;
+use crate::leader::LeaderState;
 use crate::node::{ControlNode, voters_of};
-use crate::voter::{Waiter, command_bytes, dropped};
+use crate::voter::{Waiter, command_bytes, proposal_dropped};
 use dockwood_api::ResultCode;
 use dockwood_api::peer::SubmitReply;
 use dockwood_consensus::{self as consensus, Entry, Payload, RoleName, Voter};
@@ -12,15 +12,15 @@
 use std::collections::BTreeMap;
 
 impl<R> ControlNode<R> {
-    /// Gives the consensus core an input and takes what follows.
-    pub(crate) fn drive(&mut self, now: Moment, input: consensus::Input) {
+    /// Passes an input to the consensus core and processes its outputs.
+    pub(crate) fn step_core(&mut self, now: Moment, input: consensus::Input) {
         let Some(voter) = &mut self.voter else { return };
         for output in voter.core.step(now.monotonic, input) {
-            self.take_core_output(now, output);
+            self.handle_core_output(now, output);
         }
     }
 
-    fn take_core_output(&mut self, now: Moment, output: consensus::Output) {
+    fn handle_core_output(&mut self, now: Moment, output: consensus::Output) {
         match output {
             consensus::Output::Persist { hard_state, entries } => {
                 self.outputs.push(Output::Persist { hard_state, entries });
@@ -44,7 +44,7 @@
                 }
                 self.outputs.push(Output::VotersChanged(voters));
             }
-            // Reads are answered under the leader's lease; nothing asks the core for an index.
+            // Reads are served under the leader lease; read indexes are never requested.
             consensus::Output::ReadReady { .. } => {}
             consensus::Output::RoleChanged { role, term, leader } => {
                 self.role_changed(now, role, term, leader)
@@ -54,10 +54,10 @@
 
     fn commit(&mut self, entry: Entry) {
         if let Payload::Voters(voters) = &entry.payload {
-            let control_voter = |voter: &Voter| ControlVoter { id: voter.id, address: voter.address };
-            self.board.state.voters = voters.iter().map(control_voter).collect();
-            let named: Vec<String> = voters.iter().map(|voter| voter.address.to_string()).collect();
-            self.record_own("VotersChanged", &named.join(" "), ResultCode::Ok);
+            let to_control_voter = |voter: &Voter| ControlVoter { id: voter.id, address: voter.address };
+            self.board.state.voters = voters.iter().map(to_control_voter).collect();
+            let addresses: Vec<String> = voters.iter().map(|voter| voter.address.to_string()).collect();
+            self.record_event("VotersChanged", &addresses.join(" "), ResultCode::Ok);
         }
         let command = command_bytes(&entry).and_then(|bytes| decode_command(bytes).ok());
         let applied = command.map(|command| self.apply(&command));
@@ -67,8 +67,8 @@
         let Some(proposal) = voter.proposals.remove(&entry.index) else { return };
         match proposal.waiter {
             Waiter::Controller => {
-                if let Some(leadership) = &mut voter.leadership {
-                    leadership.controller_command_committed();
+                if let Some(leader_state) = &mut voter.leader_state {
+                    leader_state.controller_command_committed();
                 }
             }
             Waiter::Caller(reply) => {
@@ -76,7 +76,7 @@
                     Some(applied) if proposal.term == entry.term => {
                         SubmitReply::Applied { revision, outcome: encode_outcome(&applied.outcome) }
                     }
-                    _ => dropped("another leader's entry took its place"),
+                    _ => proposal_dropped("another leader's entry took its place"),
                 };
                 self.outputs.push(Output::SubmitReply(reply, answer));
             }
@@ -86,29 +86,29 @@
     fn role_changed(&mut self, now: Moment, role: RoleName, term: u64, leader: Option<u64>) {
         let Some(voter) = &mut self.voter else { return };
         voter.leader = leader.and_then(|id| voter.addresses.get(&id).copied());
-        let former = voter.leadership.take();
-        let led_before = former.is_some();
-        let leads = role == RoleName::Leader;
-        voter.leadership = leads.then(|| Leadership::new(term, now.monotonic));
+        let former_state = voter.leader_state.take();
+        let was_leader = former_state.is_some();
+        let is_leader = role == RoleName::Leader;
+        voter.leader_state = is_leader.then(|| LeaderState::new(term, now.monotonic));
         voter.proxy.leader_changed();
         let leader = voter.leader;
-        // Whether they will be committed is no longer this node's to know; the callers resend.
-        let proposals = if leads { BTreeMap::new() } else { std::mem::take(&mut voter.proposals) };
+        // This node can no longer learn whether they are committed; the callers resend them.
+        let proposals = if is_leader { BTreeMap::new() } else { std::mem::take(&mut voter.proposals) };
         for (_, proposal) in proposals {
             if let Waiter::Caller(reply) = proposal.waiter {
-                let answer = dropped("this node ceased to lead before the command was committed");
+                let answer = proposal_dropped("this node ceased to lead before the command was committed");
                 self.outputs.push(Output::SubmitReply(reply, answer));
             }
         }
-        if let Some(mut former) = former {
-            let refusals = former.answers.refuse_held(leader);
+        if let Some(mut former_state) = former_state {
+            let refusals = former_state.responder.refuse_held(leader);
             self.outputs.extend(refusals);
         }
-        self.outputs.push(Output::LeaderChanged { leader, leads });
-        if leads {
-            self.record_own("Elected", &format!("term {term}"), ResultCode::Ok);
-        } else if led_before {
-            self.record_own("SteppedDown", &format!("term {term}"), ResultCode::Ok);
+        self.outputs.push(Output::LeaderChanged { leader, leads: is_leader });
+        if is_leader {
+            self.record_event("Elected", &format!("term {term}"), ResultCode::Ok);
+        } else if was_leader {
+            self.record_event("SteppedDown", &format!("term {term}"), ResultCode::Ok);
         }
     }
 }
--- a/crates/control/src/driver_io.rs
+++ b/crates/control/src/driver_io.rs
@@ -1,8 +1,8 @@
-//! What crosses the border between the control logic and its driver. `R` is whatever the driver answers a
-//! waiting caller by.
+//! Interface between the control logic and its driver. `R` is the driver's handle for replying to a waiting
+//! caller.
 
-use crate::account::Account;
 use crate::gateway::InstanceProbe;
+use crate::timeline::TimelineEvent;
 use dockwood_api::gateway::{
     GroupOrder, InstanceReport, LoadDigest, LoadReport, OrderAnswer, PlaceReply, PlaceRequest, ServerLimit,
 };
@@ -19,50 +19,50 @@
 
 use crate::Millis;
 
-/// One reading of the clocks.
+/// A reading of both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moment {
-    /// Monotonic milliseconds of this process.
+    /// Monotonic time of this process in milliseconds.
     pub monotonic: Millis,
     /// Milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-/// A lease as granted by the leader.
+/// A lease granted by the leader.
 #[derive(Clone, Debug)]
 pub struct GrantedLease {
     /// Newest revision in force everywhere.
     pub in_force_revision: u64,
-    /// What this daemon lacked.
+    /// The content that this daemon lacked.
     pub content: LeaseContent,
 }
 
-/// What happened.
+/// Inputs of the control logic.
 #[derive(Debug)]
 pub enum Input<R> {
     /// Time passed.
     Tick,
-    /// The thread that takes calls is at work: sent every [`PULSE_EVERY_MS`](crate::PULSE_EVERY_MS), the way that calls
-    /// take.
+    /// Sent by the thread that receives calls every [`PULSE_EVERY_MS`](crate::PULSE_EVERY_MS), through
+    /// the same queue as the calls, to measure how late these are handled.
     Pulse,
     /// Messages of the consensus group.
     Consensus(Vec<Message>),
-    /// Encoded commands to commit, each with its caller. Those given together share one synced write.
+    /// Encoded commands to commit, each with its caller. Commands of one input share one synced write.
     Submit(Vec<(Vec<u8>, R)>),
-    /// A daemon asks for its lease.
+    /// A daemon requests a lease.
     Lease(LeaseRequest, R),
-    /// A voter reports which daemons have asked it for leases.
+    /// A voter reports the daemons that requested leases from it.
     Delegate(Vec<DelegatedRequest>, R),
-    /// What came of [`Output::DelegateLeases`].
+    /// The result of an [`Output::DelegateLeases`].
     Delegated {
-        /// Number of the message.
+        /// Number of the batch.
         number: u64,
         /// `None` if there was no answer in time.
         answer: Option<DelegationAnswer>,
     },
-    /// A daemon reports its findings to the leader of a term.
+    /// A daemon reports its observations to the leader of a term.
     Observe(Term, Vec<Observation>, R),
-    /// Somebody asks for the leader's view.
+    /// A request for the leader's view.
     View(R),
     /// This daemon was granted a lease.
     LeaseGranted(GrantedLease),
@@ -75,23 +75,23 @@
         /// Whether it was carried out.
         done: bool,
     },
-    /// A server reports; answered like a submitted command.
+    /// A server's report; answered like a submitted command.
     Register(InstanceReport, R),
-    /// An entry reports its load.
+    /// An entry's load report.
     ExchangeLoad(LoadReport, R),
-    /// An entry asks for a place at a group.
+    /// An entry requests a place in a group.
     AssignPlace(PlaceRequest, R),
-    /// The servers that have named limits for some time, all of them.
+    /// The complete set of servers whose load limits have persisted for some time.
     ServerLimits(Vec<ServerLimit>),
-    /// A server answered a group order, or did not.
+    /// The result of a group order.
     GroupOrderAnswered(GroupOrder, OrderAnswer),
-    /// An instance was asked.
+    /// The result of a probe.
     Probed {
         /// Instance id.
         instance: String,
-        /// What came of it.
+        /// The result.
         result: ProbeResult,
-        /// How many times its declared times it takes, if it reported that.
+        /// Ratio of its actual to its declared processing times, if it reported one.
         slowness: Option<f64>,
     },
     /// A process asks to become a voter.
@@ -102,18 +102,18 @@
         address: SocketAddr,
         /// Its zone.
         zone: String,
-        /// For the answer.
+        /// Reply handle.
         reply: R,
     },
-    /// The voters as the leader sent them.
+    /// The voters, as received from the leader.
     LearnVoters(Vec<VoterRecord>),
-    /// Somebody asks for the revision at which a read is current.
+    /// A request for the revision at which a read is current.
     ReadRevision(R),
-    /// A daemon that lags asks for a copy of the state.
+    /// A lagging daemon requests a snapshot of the state.
     CopyState(R),
     /// Machines that the platform is about to take away.
     Leaving(BTreeSet<String>),
-    /// An earlier [`Output::Persist`] is synced up to this entry.
+    /// An earlier [`Output::Persist`] has been synced up to this entry.
     Persisted {
         /// Index of the last synced entry.
         index: LogIndex,
@@ -122,7 +122,7 @@
     },
 }
 
-/// A snapshot with what remains of the log after it.
+/// A snapshot and the rest of the log after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSnapshot {
     /// Last index covered.
@@ -133,24 +133,25 @@
     pub data: Vec<u8>,
     /// Hard state to keep.
     pub hard_state: HardState,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// An order on its way to a machine.
+/// An order to send to a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderToSend {
     /// The order.
     pub order: OrderRow,
-    /// The machine's engine.
+    /// Address of the machine's engine.
     pub address: SocketAddr,
-    /// Whether the machine refuses orders below its highest fence.
+    /// Whether the machine rejects orders below its highest fence.
     pub checks_fences: bool,
-    /// Until when this daemon surely leads; a machine that doesn't check fences gets nothing after that.
+    /// End of the time for which this daemon is certain to lead; a machine that doesn't check fences must not
+    /// be sent orders after that.
     pub lease_until: Millis,
 }
 
-/// What the driver has to do, in order. What must survive is synced before any later output is carried out.
+/// Actions for the driver, in order. Data to persist must be synced before any later output is carried out.
 #[derive(Debug)]
 pub enum Output<R> {
     /// Append to the log and sync; then give [`Input::Persisted`] for the last entry, if there is one.
@@ -160,46 +161,47 @@
         /// Entries; the first replaces any stored entry of its index or above.
         entries: Vec<Entry>,
     },
-    /// Store the snapshot and replace the log.
+    /// Store the snapshot and truncate the log.
     StoreSnapshot(StoredSnapshot),
-    /// Send to a member of the group; may be lost.
+    /// Send to another voter; may be lost.
     Send(Message),
-    /// Answer a submitted command.
+    /// Reply to a submitted command.
     SubmitReply(R, SubmitReply),
-    /// Answer a lease request; the driver puts its clock's stamp in.
+    /// Reply to a lease request; the driver fills in its clock stamp.
     LeaseReply(R, LeaseAnswer),
-    /// Report to the leader which daemons have asked this voter for leases; answered by [`Input::Delegated`] in any case.
+    /// Report to the leader the daemons that requested leases from this voter; always answered by an
+    /// [`Input::Delegated`].
     DelegateLeases {
         /// The leader's peer address.
         leader: SocketAddr,
-        /// Number of the message.
+        /// Number of the batch.
         number: u64,
-        /// What they asked.
+        /// The requests.
         requests: Vec<DelegatedRequest>,
     },
-    /// Answer a voter that grants leases.
+    /// Reply to a voter that grants leases.
     DelegationReply(R, DelegationAnswer),
-    /// Answer an observation.
+    /// Reply to an observation: whether it was accepted.
     ObserveReply(R, bool),
-    /// Answer an entry's load; `None` if this node does not lead.
+    /// Reply to an entry's load report; `None` if this node does not lead.
     LoadReply(R, Option<LoadDigest>),
-    /// To an entry that asked for a place; `None` if this node does not lead.
+    /// Reply to an entry that requested a place; `None` if this node does not lead.
     PlaceReply(R, Option<PlaceReply>),
-    /// Answer a process that asks to become a voter.
+    /// Reply to a process that asks to become a voter.
     AdmitReply(R, AdmitAnswer),
-    /// Answer a request for the revision of a current read.
+    /// Reply to a request for the revision of a current read.
     ReadReply(R, ReadAnswer),
-    /// Answer a daemon that asked for a copy of the state; `None` if there is none yet.
+    /// Reply to a daemon that requested a snapshot; `None` if there is no state yet.
     CopyReply(R, Option<Vec<u8>>),
-    /// Answer a view.
+    /// Reply to a view request.
     ViewReply(R, ControlAnswer),
-    /// Send an order to a machine, and follow it until it is carried out or refused.
+    /// Send an order to a machine, and retry until it is carried out or rejected.
     SendOrder(Box<OrderToSend>),
     /// Send an order to a server of the gateway.
     SendGroupOrder(Box<GroupOrder>),
-    /// Ask an instance whether it is alive.
+    /// Probe an instance.
     Probe(InstanceProbe),
-    /// Voters that must be reachable from now on.
+    /// The voters that have to be reachable from now on.
     VotersChanged(Vec<Voter>),
     /// Announce to daemons that this node leads; may be lost.
     AnnounceLeader {
@@ -208,28 +210,28 @@
         /// The term in which it leads.
         term: Term,
     },
-    /// Record a change of state.
+    /// Record an event in the timeline.
     Record {
         /// The event.
-        account: Account,
-        /// The revision that led to it.
+        account: TimelineEvent,
+        /// The revision that caused it.
         revision: Option<u64>,
     },
-    /// A revision touched these resources.
+    /// A revision changed these resources.
     Touched {
         /// The revision.
         revision: u64,
         /// The resources.
         keys: Vec<ResourceKey>,
     },
-    /// The state was replaced as a whole.
+    /// The whole state was replaced.
     Restored {
         /// Its revision.
         revision: u64,
     },
-    /// The leader that this node knows of, and whether it is this node.
+    /// The known leader has changed.
     LeaderChanged {
-        /// Peer address.
+        /// Peer address of the leader, if known.
         leader: Option<SocketAddr>,
         /// Whether this node leads.
         leads: bool,
--- a/crates/control/src/census.rs
+++ b/crates/control/src/entry_summary.rs
@@ -1,4 +1,5 @@
-//! Which daemons take the gateway's callers, and which of them can tell of servers that the control group can't reach.
+//! Which daemons are gateway entries, and which of them can report on servers that the control group can't
+//! reach.
 
 use dockwood_state::{DaemonRow, Tables};
 use imbl::OrdMap;
@@ -6,37 +7,37 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// What follows from the daemons' rows, made anew only when one of them has changed: it is asked for with every report
-/// and every request.
+/// A value derived from the daemons' rows, computed again only when one of them changes: it is needed for
+/// every report and every request.
 #[derive(Clone, Debug, Default)]
 pub struct FromDaemons<T> {
     daemons: OrdMap<String, Arc<DaemonRow>>,
-    made: T,
+    value: T,
 }
 
 impl<T> FromDaemons<T> {
-    /// What follows from the rows of these tables. `T::default()` must be what follows from none.
-    pub fn get(&mut self, tables: &Tables, make: impl FnOnce(&Tables) -> T) -> &mut T {
+    /// Returns the value for these tables. `T::default()` must be the value for an empty table.
+    pub fn get(&mut self, tables: &Tables, compute: impl FnOnce(&Tables) -> T) -> &mut T {
         if !self.daemons.ptr_eq(&tables.daemons) {
-            self.made = make(tables);
+            self.value = compute(tables);
             self.daemons = tables.daemons.clone();
         }
-        &mut self.made
+        &mut self.value
     }
 }
 
-/// The entries among the daemons.
+/// Entries (daemons with a gateway frontend).
 #[derive(Clone, Debug, Default)]
 pub struct EntryCensus {
-    /// All entries, whether or not they were heard lately.
+    /// Number of entries, whether or not they were heard from recently.
     pub entries: u32,
-    /// Entries that callers may be sent to.
+    /// Number of entries that clients may be sent to.
     pub reachable_entries: u32,
     control_hosts: BTreeSet<IpAddr>,
 }
 
 impl EntryCensus {
-    /// The census of these tables.
+    /// Computes the summary of these tables.
     pub fn of(tables: &Tables) -> EntryCensus {
         let is_entry = |daemon: &&Arc<DaemonRow>| daemon.record.frontend.is_some();
         let members = tables.daemons.values().filter(|daemon| daemon.record.operators.is_some());
@@ -47,12 +48,13 @@
         }
     }
 
-    /// Whether an entry sees the servers by another machine's network than members of the control group do.
+    /// Whether an entry runs on another host than all members of the control group, and thus reaches the
+    /// servers over another network path.
     pub fn is_witness(&self, tables: &Tables, daemon: &str) -> bool {
         tables.daemons.get(daemon).is_some_and(|entry| self.is_apart(entry))
     }
 
-    /// Whether a daemon is on a machine that no member of the control group is on.
+    /// Whether a daemon runs on a host without a member of the control group.
     pub fn is_apart(&self, daemon: &DaemonRow) -> bool {
         !self.control_hosts.contains(&daemon.record.peer.ip())
     }
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -1,8 +1,8 @@
-//! The leader's part in the gateway: what instances and entries report, which groups follow, and the orders to
-//! send. Local to one leader term; a new leader gathers it again.
+//! The leader's part of the gateway: collects reports of instances and entries, and derives group changes and
+//! orders from them. Local to one leader term; a new leader collects the reports again.
 
 use crate::Millis;
-use crate::successors::Successors;
+use crate::address_takeovers::AddressTakeovers;
 use dockwood_api::gateway::{
     GroupOrder, InstanceReport, LoadDigest, LoadReport, OrderAnswer, PlaceReply, PlaceRequest, ServerLimit,
     SharedGroupLoad,
@@ -18,116 +18,117 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Pause between two rounds of asking the members of one silent group.
-const PROBE_PAUSE_MS: Millis = 700;
+/// Interval between two rounds of probes of the members of one silent group.
+const PROBE_INTERVAL_MS: Millis = 700;
 
-/// What an instance is asked.
+/// What a probe checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeQuestion {
-    /// Whether it is alive.
+    /// Whether the instance is alive.
     IsAlive,
-    /// Whether it is the one that answers at its address, by the health check at this path.
+    /// Whether this instance is the one that answers at its address, by a health check at this path.
     AnswersAt(String),
 }
 
-/// An instance to ask.
+/// A probe of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceProbe {
     /// Instance id.
     pub instance: String,
-    /// Service, which names the health path.
+    /// Service, which determines the health path.
     pub service: String,
     /// Address.
     pub address: SocketAddr,
-    /// What it is asked.
+    /// What the probe checks.
     pub question: ProbeQuestion,
 }
 
-/// The gateway's state of one leader term.
+/// Gateway state of one leader term.
 #[derive(Debug, Default)]
-pub struct GatewayLeadership {
+pub struct GatewayLeaderState {
     observations: Observations,
     places: PlaceLedger,
     dispatcher: Dispatcher,
     orders: OrderBook,
-    /// Members that left an order to join unanswered, to be asked whether they are alive.
-    unanswered: BTreeSet<String>,
-    successors: Successors,
-    started: bool,
-    /// When all groups and servers are looked at again.
-    scrutiny_at: Millis,
-    /// When the next plan may be made.
-    plan_at: Millis,
-    known: KnownTables,
+    /// Members that did not answer a join order; to be probed.
+    unanswered_joins: BTreeSet<String>,
+    address_takeovers: AddressTakeovers,
+    initialized: bool,
+    /// When all groups and servers are checked again.
+    next_full_check_at: Millis,
+    /// Earliest time of the next plan.
+    next_plan_at: Millis,
+    last_seen: TableSnapshot,
 }
 
-/// The instances and groups as they were when last looked at; a copy shares all with the original.
+/// The instances and groups at the last check; persistent maps, so that a copy is cheap.
 #[derive(Debug, Default)]
-struct KnownTables {
+struct TableSnapshot {
     instances: OrdMap<String, Arc<InstanceRow>>,
     groups: OrdMap<u64, Arc<GroupRow>>,
 }
 
-impl KnownTables {
-    fn of(tables: &GatewayTables) -> KnownTables {
-        KnownTables { instances: tables.instances.clone(), groups: tables.groups.clone() }
+impl TableSnapshot {
+    fn of(tables: &GatewayTables) -> TableSnapshot {
+        TableSnapshot { instances: tables.instances.clone(), groups: tables.groups.clone() }
     }
 
-    /// Whether neither has changed.
+    /// Whether both are unchanged.
     fn is_same(&self, tables: &GatewayTables) -> bool {
         self.instances.ptr_eq(&tables.instances) && self.groups.ptr_eq(&tables.groups)
     }
 }
 
-impl GatewayLeadership {
-    /// Takes a report. The command that must be committed before it is acknowledged, if there is one.
+impl GatewayLeaderState {
+    /// Takes an instance's report. Returns the command to commit before the report is acknowledged, if any.
     pub fn register(
         &mut self,
         now: Millis,
         tables: &GatewayTables,
         report: &InstanceReport,
     ) -> Option<GatewayCommand> {
-        if self.is_of_former_start(tables, report) {
+        if self.is_from_earlier_start(tables, report) {
             return None;
         }
         if tables.is_barred(&report.id, report.started_ms) {
-            // It never comes back, but it may be serving still, and its word on its group counts until it ends.
+            // The instance is never admitted again, but it may still be serving, and its reports on its group
+            // count until it ends.
             if tables.instances.contains_key(&report.id) {
-                self.take_report(now, tables, report);
+                self.record_report(now, tables, report);
             }
             return None;
         }
-        let is_newest = self.take_report(now, tables, report);
+        let is_newest = self.record_report(now, tables, report);
         let row = InstanceRow::from(report);
         let known = tables.instances.get(&report.id);
-        if known.is_none() && self.successors.is_doubtful(now, tables, &self.observations, &row) {
-            self.successors.ask_about(row);
+        if known.is_none() && self.address_takeovers.needs_probe(now, tables, &self.observations, &row) {
+            self.address_takeovers.add(row);
             return None;
         }
-        let is_news = known.is_none_or(|known| is_newest && **known != row);
-        is_news.then_some(GatewayCommand::Register(row))
+        let is_changed = known.is_none_or(|known| is_newest && **known != row);
+        is_changed.then_some(GatewayCommand::Register(row))
     }
 
-    /// Whether a report is late: its sender has started again since.
-    fn is_of_former_start(&self, tables: &GatewayTables, report: &InstanceReport) -> bool {
-        let newest = self.newest_start(tables, &report.id);
+    /// Whether a report is stale: its sender has restarted since.
+    fn is_from_earlier_start(&self, tables: &GatewayTables, report: &InstanceReport) -> bool {
+        let newest = self.latest_start(tables, &report.id);
         report.started_ms.zip(newest).is_some_and(|(reported, newest)| reported < newest)
     }
 
-    /// The newest start of an instance that is known, in milliseconds since the Unix epoch.
-    fn newest_start(&self, tables: &GatewayTables, id: &str) -> Option<u64> {
+    /// The latest known start of an instance, in milliseconds since the Unix epoch.
+    fn latest_start(&self, tables: &GatewayTables, id: &str) -> Option<u64> {
         let seen = self.observations.instance(id).and_then(|seen| seen.started_ms);
         seen.max(tables.instances.get(id).and_then(|row| row.started_ms))
     }
 
-    /// Takes a report's content. False if a newer one was taken before.
-    fn take_report(&mut self, now: Millis, tables: &GatewayTables, report: &InstanceReport) -> bool {
-        let known = self.newest_start(tables, &report.id);
+    /// Records the content of a report. False if a newer report was recorded before.
+    fn record_report(&mut self, now: Millis, tables: &GatewayTables, report: &InstanceReport) -> bool {
+        let known = self.latest_start(tables, &report.id);
         if let Some((started_ms, known)) = report.started_ms.zip(known)
             && started_ms > known
         {
-            let former_group = tables.group_of(&report.id).map(|group| group.epoch);
-            self.observations.begin_again(&report.id, started_ms, former_group);
+            let earlier_group = tables.group_of(&report.id).map(|group| group.epoch);
+            self.observations.begin_again(&report.id, started_ms, earlier_group);
         }
         if let Some(group) = tables.group_of(&report.id) {
             self.orders.touch(group.epoch);
@@ -135,9 +136,9 @@
         self.observations.record_report(now, report)
     }
 
-    /// Takes an entry's load, and returns the others' and the places that it may take. `entries` are those that are
-    /// live.
-    pub fn exchange(
+    /// Records an entry's load, and returns the load of the others and the places granted to it. `entries` is
+    /// the number of live entries.
+    pub fn exchange_load(
         &mut self,
         now: Millis,
         tables: &GatewayTables,
@@ -146,12 +147,12 @@
         is_witness: bool,
     ) -> LoadDigest {
         if report.scope.is_some() {
-            return self.take_summary(now, report, is_witness);
+            return self.record_summary(now, report, is_witness);
         }
         self.places.expect_entries(entries);
-        let takes_new =
+        let accepts_requests =
             |group: &&Arc<GroupRow>| group.phase == GroupPhase::Open && !tables.is_evacuated(&group.zone);
-        let open = tables.groups.values().filter(takes_new);
+        let open = tables.groups.values().filter(accepts_requests);
         let groups = open.map(|group| GroupPlaces {
             epoch: group.epoch,
             service: &group.service,
@@ -175,7 +176,8 @@
         digest
     }
 
-    /// Assigns a request to a group. `cold_limit` is by how much the rate that cold servers declare may be exceeded.
+    /// Assigns a request to a group. `cold_limit` limits by how much the rates declared by cold servers may
+    /// be exceeded.
     pub fn assign(
         &mut self,
         now: Millis,
@@ -187,18 +189,19 @@
         self.dispatcher.assign(now, request, tables, &self.observations)
     }
 
-    /// Takes a dispatcher's summary of its scope, and returns which groups are found to be stalled.
-    fn take_summary(&mut self, now: Millis, report: LoadReport, is_witness: bool) -> LoadDigest {
+    /// Records a dispatcher's summary of its scope, and returns the groups that are considered stalled.
+    fn record_summary(&mut self, now: Millis, report: LoadReport, is_witness: bool) -> LoadDigest {
         let mut digest = self.observations.exchange(now, report, is_witness);
         digest.groups.retain(|shared| shared.suspected);
         digest
     }
 
-    /// Notes what came of an order. A refused connection is evidence like a probe's. Silence is none, as servers leave
-    /// orders unanswered and carry them out late; but a group waits for each of its members, so the member is asked
-    /// whether it is alive. Measured where servers are cut off: such groups were given up after 3.3 s, when the silent
-    /// member's heartbeats had been missing for long enough; this takes 0.7 s.
-    pub fn order_answered(&mut self, now: Millis, order: &GroupOrder, answer: OrderAnswer) {
+    /// Records the result of an order. A refused connection counts like a failed probe. Silence does not, as
+    /// servers may leave orders unanswered and carry them out late; but a group waits for each of its
+    /// members, so a member that does not answer a join order is probed. Measured with servers cut off from
+    /// the network: without the probe such groups were abandoned after 3.3 s, when enough of the member's
+    /// heartbeats were missing; with it after 0.7 s.
+    pub fn record_order_answer(&mut self, now: Millis, order: &GroupOrder, answer: OrderAnswer) {
         self.orders.answered(now, order, answer);
         self.observations.record_answer(now, order, answer);
         match answer {
@@ -206,20 +209,21 @@
                 self.observations.record_probe(now, &order.instance, ProbeResult::Refused);
             }
             OrderAnswer::Silent if OrderKind::of(&order.command) == OrderKind::Join => {
-                self.unanswered.insert(order.instance.clone());
+                self.unanswered_joins.insert(order.instance.clone());
             }
             _ => {}
         }
     }
 
-    /// Extends all instances by the time for which this leader received nothing.
-    pub fn excuse(&mut self, now: Millis, late: Millis) {
-        self.observations.excuse(now, late);
+    /// Extends the deadlines of all instances by the time for which this leader received nothing.
+    pub fn extend_deadlines(&mut self, now: Millis, delay: Millis) {
+        self.observations.excuse(now, delay);
     }
 
-    /// Notes what came of a probe, and how many times its declared times the instance takes, if it reported that.
-    pub fn probed(&mut self, now: Millis, instance: &str, result: ProbeResult, slowness: Option<f64>) {
-        if self.successors.answered(instance, result) {
+    /// Records the result of a probe, and the ratio of the instance's actual to its declared processing
+    /// times, if reported.
+    pub fn record_probe(&mut self, now: Millis, instance: &str, result: ProbeResult, slowness: Option<f64>) {
+        if self.address_takeovers.record_probe_result(instance, result) {
             return;
         }
         self.observations.record_probe(now, instance, result);
@@ -228,53 +232,53 @@
         }
     }
 
-    /// Takes the servers that have named limits for some time, all of them.
-    pub fn note_limits(&mut self, limits: Vec<ServerLimit>) {
+    /// Replaces the set of servers whose load limits have persisted for some time.
+    pub fn set_server_limits(&mut self, limits: Vec<ServerLimit>) {
         self.observations.note_limits(limits);
     }
 
-    /// Commands that should be committed now.
+    /// Returns the commands that should be committed now.
     pub fn decide(
         &mut self,
         now: Millis,
         tables: &GatewayTables,
         policy: GroupingPolicy,
     ) -> Vec<GatewayCommand> {
-        if !self.started {
-            self.started = true;
+        if !self.initialized {
+            self.initialized = true;
             self.observations.expect_heartbeats(policy.heartbeat);
             self.observations.assume_present(now, tables.instances.keys().cloned());
             self.observations.note_departures(0, tables);
         }
-        self.follow(now, tables);
+        self.track_changes(now, tables);
         let view = View { tables, observations: &self.observations, now, policy };
-        let looks_at_all = now >= self.scrutiny_at;
-        let scrutiny = if looks_at_all { Scrutiny::All } else { Scrutiny::Unsettled };
-        let mut commands = self.successors.confirmed();
+        let is_full_check = now >= self.next_full_check_at;
+        let scrutiny = if is_full_check { Scrutiny::All } else { Scrutiny::Unsettled };
+        let mut commands = self.address_takeovers.take_confirmed();
         commands.extend(advance_groups(&view, scrutiny, |epoch| self.orders.closing_since(now, epoch)));
         commands.extend(release_members(&view, |epoch| self.orders.closing_since(now, epoch)));
-        if looks_at_all {
-            self.scrutiny_at = now + scrutiny_pause_ms(tables.instances.len());
-            let decided: BTreeSet<u64> = commands.iter().filter_map(decided_group).collect();
+        if is_full_check {
+            self.next_full_check_at = now + scrutiny_pause_ms(tables.instances.len());
+            let decided: BTreeSet<u64> = commands.iter().filter_map(group_with_set_phase).collect();
             commands.extend(replace_slow_members(&view, |epoch| decided.contains(&epoch)));
             commands.extend(reap_instances(&view));
         }
         if self.observations.traffic_seen && !tables.requests_seen {
             commands.push(GatewayCommand::NoteRequests);
         }
-        // A plan is made on settled tables only: what was decided is committed first.
-        if commands.is_empty() && now >= self.plan_at {
+        // Plans are only made on settled tables: earlier decisions are committed first.
+        if commands.is_empty() && now >= self.next_plan_at {
             let plan = plan(&view, self.orders.staging());
-            self.plan_at = now + plan_pause_ms(tables.instances.len());
+            self.next_plan_at = now + plan_pause_ms(tables.instances.len());
             self.orders.wish(plan.staging);
             commands = plan.commands;
         }
         commands
     }
 
-    /// Notes which instances have begun to leave, and forgets instances and groups that are gone.
-    fn follow(&mut self, now: Millis, tables: &GatewayTables) {
-        if self.known.is_same(tables) {
+    /// Records which instances have begun to leave, and drops instances and groups that no longer exist.
+    fn track_changes(&mut self, now: Millis, tables: &GatewayTables) {
+        if self.last_seen.is_same(tables) {
             return;
         }
         self.observations.note_departures(now, tables);
@@ -282,7 +286,7 @@
         self.observations.note_unseen(now, tables);
         self.dispatcher.retain(|epoch| tables.groups.contains_key(&epoch));
         self.dispatcher.observe_heads(now, tables);
-        self.known = KnownTables::of(tables);
+        self.last_seen = TableSnapshot::of(tables);
     }
 
     /// Orders to send now.
@@ -297,18 +301,18 @@
         self.orders.to_send(&view, term)
     }
 
-    /// Members of silent or slow groups, slow servers, those that left an order to join unanswered, and instances that
-    /// seem to have taken another one's address, to be asked.
+    /// Returns the instances to probe now: members of silent or slow groups, slow servers, members that did
+    /// not answer a join order, and instances that seem to have taken over another one's address.
     pub fn probes(&mut self, now: Millis, tables: &GatewayTables) -> Vec<InstanceProbe> {
-        let unanswered = std::mem::take(&mut self.unanswered);
-        let rows = unanswered.iter().filter_map(|instance| tables.instances.get(instance));
+        let unanswered_joins = std::mem::take(&mut self.unanswered_joins);
+        let rows = unanswered_joins.iter().filter_map(|instance| tables.instances.get(instance));
         let mut probes: Vec<InstanceProbe> = rows.map(|row| probe_of(row)).collect();
         probes.extend(self.slowness_probes(now, tables));
-        probes.extend(self.successors.due_probes(tables));
+        probes.extend(self.address_takeovers.due_probes(tables));
         for epoch in self.observations.silent_groups(now) {
             let group = tables.groups.get(&epoch).filter(|group| group.phase == GroupPhase::Open);
             let Some(group) = group else { continue };
-            if !self.observations.claim_probe(now, epoch, PROBE_PAUSE_MS) {
+            if !self.observations.claim_probe(now, epoch, PROBE_INTERVAL_MS) {
                 continue;
             }
             let rows = group.members.iter().filter_map(|member| tables.instances.get(member));
@@ -317,19 +321,19 @@
         probes
     }
 
-    /// Members of groups whose streams look slow, and servers that said that they are slow.
+    /// Probes members of groups with slow streams, and servers that reported themselves as slow.
     fn slowness_probes(&mut self, now: Millis, tables: &GatewayTables) -> Vec<InstanceProbe> {
         let groups = self.observations.claim_slow_groups(now);
         let open = groups.iter().filter_map(|epoch| tables.groups.get(epoch));
         let open = open.filter(|group| group.phase == GroupPhase::Open);
-        let mut asked: BTreeSet<String> = open.flat_map(|group| group.members.iter().cloned()).collect();
-        asked.extend(self.observations.claim_slow_servers(now));
-        asked.iter().filter_map(|instance| tables.instances.get(instance)).map(|row| probe_of(row)).collect()
+        let mut probed: BTreeSet<String> = open.flat_map(|group| group.members.iter().cloned()).collect();
+        probed.extend(self.observations.claim_slow_servers(now));
+        probed.iter().filter_map(|instance| tables.instances.get(instance)).map(|row| probe_of(row)).collect()
     }
 }
 
 /// The group whose phase a command sets.
-fn decided_group(command: &GatewayCommand) -> Option<u64> {
+fn group_with_set_phase(command: &GatewayCommand) -> Option<u64> {
     match command {
         GatewayCommand::SetPhase { epoch, .. } => Some(*epoch),
         _ => None,
@@ -345,7 +349,7 @@
     }
 }
 
-/// Requests that a group of a service may hold.
+/// Maximum number of requests in a group of a service.
 fn places_of(tables: &GatewayTables, service: &str) -> u32 {
     tables.engine(service).map_or(0, places_of_group)
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,64 +1,64 @@
-//! What only the leader has, for as long as it leads: leases, controllers, and orders on their way.
+//! State of a node while it leads: leases, controllers, and orders in flight.
 
 use crate::Millis;
 use crate::admission::Candidates;
-use crate::announcement::Announcements;
+use crate::announcements::Announcements;
 use crate::blackboard::{Blackboard, Observed};
-use crate::controllers::{LostState, expired_suspicions, pending_orders, placement};
-use crate::daemon_changes::{Askers, daemon_changes};
+use crate::controllers::{MismatchDetector, expired_suspicions, pending_orders, placement};
+use crate::daemon_changes::{LeaseRequesters, daemon_changes};
 use crate::driver_io::{Moment, OrderToSend};
-use crate::gateway::GatewayLeadership;
-use crate::hearing::Hearing;
-use crate::lease_answers::LeaseAnswers;
+use crate::gateway::GatewayLeaderState;
+use crate::input_lag::InputLag;
+use crate::lease_responder::LeaseResponder;
 use crate::node::Options;
-use crate::view::{ViewHead, control_view};
-use crate::voter_zones::{VoterShown, ZoneWatch};
+use crate::view::{ViewHeader, control_view};
+use crate::voter_zones::{VoterStatus, ZoneBalanceMonitor};
 use dockwood_api::peer::{DelegatedRequest, LeaseRequest, Observation};
 use dockwood_state::CommandBody;
 use std::collections::HashMap;
 
-/// Time between two runs of the controllers.
-const DECIDE_EVERY_MS: Millis = 50;
-/// Pause before an order that was not carried out is sent again.
-const ORDER_RETRY_MS: Millis = 300;
-/// Pause after an order was carried out, for its entry to be committed.
+/// Interval between two runs of the controllers.
+const DECISION_INTERVAL_MS: Millis = 50;
+/// Delay before an order that was not carried out is sent again.
+const ORDER_RETRY_DELAY_MS: Millis = 300;
+/// Time allowed for committing the result of an order that was carried out.
 const ORDER_COMMIT_MS: Millis = 2_000;
-/// The leader's lease is renewed at least this often; orders to machines that don't check fences are sent only
+/// The leader lease is renewed at least this often; orders to machines that don't check fences are only sent
 /// within it.
 const ORDER_LEASE_MS: Millis = 200;
 
-/// An order on its way, or waiting to be sent again.
+/// An order in flight, or waiting for a retry.
 #[derive(Clone, Copy, Debug)]
 struct OrderAttempt {
     fence: u64,
-    /// `None` while a task follows it.
+    /// `None` while the order is in flight.
     retry_at: Option<Millis>,
 }
 
 /// State of one leader term.
 #[derive(Debug)]
-pub struct Leadership<R> {
+pub struct LeaderState<R> {
     /// The term.
     pub term: u64,
-    /// Leases granted in it, and requests for them.
-    pub(crate) answers: LeaseAnswers<R>,
-    /// The gateway's part.
-    pub gateway: GatewayLeadership,
+    /// Leases granted in this term, and pending requests for them.
+    pub(crate) responder: LeaseResponder<R>,
+    /// Gateway part.
+    pub gateway: GatewayLeaderState,
     /// Processes that asked to become voters.
     pub candidates: Candidates,
-    /// Calls to daemons that have not found it.
+    /// Announcements to daemons that have not found this leader.
     pub announcements: Announcements,
-    /// Since when some zone has held too many voters, and whether that was recorded.
-    pub zone_watch: ZoneWatch,
-    hearing: Hearing,
-    askers: Askers,
-    lost_state: LostState,
+    /// Since when a zone has held too many voters, and whether that was recorded.
+    pub zone_balance_monitor: ZoneBalanceMonitor,
+    input_lag: InputLag,
+    requesters: LeaseRequesters,
+    mismatch_detector: MismatchDetector,
     attempts: HashMap<String, OrderAttempt>,
     uncommitted: usize,
-    decide_at: Millis,
+    next_decision_at: Millis,
 }
 
-/// Takes what a daemon found out.
+/// Records a daemon's observations.
 pub fn record_observations(observed: &mut Observed, now: Millis, observations: Vec<Observation>) {
     for observation in observations {
         match observation {
@@ -70,65 +70,66 @@
     }
 }
 
-impl<R> Leadership<R> {
-    /// The state of a leader that was elected now.
+impl<R> LeaderState<R> {
+    /// Creates the state of a leader that was elected at `now`.
     pub fn new(term: u64, now: Millis) -> Self {
-        Leadership {
+        LeaderState {
             term,
-            answers: LeaseAnswers::new(now),
-            gateway: GatewayLeadership::default(),
+            responder: LeaseResponder::new(now),
+            gateway: GatewayLeaderState::default(),
             candidates: Candidates::default(),
             announcements: Announcements::new(now),
-            zone_watch: ZoneWatch::default(),
-            hearing: Hearing::default(),
-            askers: Askers::default(),
-            lost_state: LostState::default(),
+            zone_balance_monitor: ZoneBalanceMonitor::default(),
+            input_lag: InputLag::default(),
+            requesters: LeaseRequesters::default(),
+            mismatch_detector: MismatchDetector::default(),
             attempts: HashMap::new(),
             uncommitted: 0,
-            decide_at: now,
+            next_decision_at: now,
         }
     }
 
-    /// Takes a pulse of this process's own calls. The time in which nothing was received counts against nobody.
-    pub fn pulse(&mut self, now: Millis) {
-        if let Some(late) = self.hearing.pulse(now) {
-            self.answers.leases.excuse(now, late);
-            self.gateway.excuse(now, late);
+    /// Records a pulse. Time in which nothing was received extends all deadlines.
+    pub fn record_pulse(&mut self, now: Millis) {
+        if let Some(delay) = self.input_lag.record_pulse(now) {
+            self.responder.leases.extend_silence_deadlines(now, delay);
+            self.gateway.extend_deadlines(now, delay);
         }
     }
 
-    /// Takes a daemon's request; [`LeaseAnswers`] answers it.
-    pub fn take_lease_request(&mut self, now: Millis, request: LeaseRequest, reply: R) {
-        self.answers.leases.extend(now, &request);
-        self.askers.note(&request.daemon, request.incarnation);
-        self.answers.leases.hold(now, request, reply);
+    /// Records a daemon's request; [`LeaseResponder`] answers it.
+    pub fn handle_lease_request(&mut self, now: Millis, request: LeaseRequest, reply: R) {
+        self.responder.leases.renew(now, &request);
+        self.requesters.record(&request.daemon, request.incarnation);
+        self.responder.leases.hold(now, request, reply);
     }
 
-    /// Notes that these daemons asked a voter, which grants them leases in this leader's name.
-    pub fn take_delegated(&mut self, now: Millis, requests: &[DelegatedRequest]) {
+    /// Records that these daemons requested leases from a voter, which grants them on behalf of this leader.
+    pub fn record_delegated_requests(&mut self, now: Millis, requests: &[DelegatedRequest]) {
         for request in requests {
-            self.answers.leases.extend_delegated(now, request);
+            self.responder.leases.renew_delegated(now, request);
             if let Some(record) = &request.record {
-                self.askers.note(record, request.incarnation);
+                self.requesters.record(record, request.incarnation);
             }
         }
     }
 
-    /// Notes what became of an order.
-    pub fn order_answered(&mut self, now: Millis, server: &str, fence: u64, done: bool) {
+    /// Records the result of an order.
+    pub fn record_order_answer(&mut self, now: Millis, server: &str, fence: u64, done: bool) {
         if let Some(attempt) = self.attempts.get_mut(server).filter(|attempt| attempt.fence == fence) {
-            let pause = if done { ORDER_COMMIT_MS } else { ORDER_RETRY_MS };
+            let pause = if done { ORDER_COMMIT_MS } else { ORDER_RETRY_DELAY_MS };
             attempt.retry_at = Some(now + pause);
         }
     }
 
-    /// Every pending order that is not on its way; one at a time to a machine that doesn't check fences.
+    /// Returns the pending orders that are not in flight; at most one at a time for a machine that doesn't
+    /// check fences.
     pub fn orders_to_send(&mut self, now: Millis, board: &Blackboard) -> Vec<OrderToSend> {
         let mut orders = Vec::new();
         for order in pending_orders(board.tables()) {
             let Some(server) = board.tables().server(&order.server) else { continue };
             let due = match self.attempts.get(&order.server) {
-                // Its fence makes an older order harmless, so a newer one need not wait for it.
+                // The newer fence makes an older order harmless, so there is no need to wait for it.
                 Some(attempt) if attempt.fence != order.fence => {
                     server.checks_fences || attempt.retry_at.is_some()
                 }
@@ -149,27 +150,32 @@
         orders
     }
 
-    /// What should be committed now. Nothing is decided while earlier decisions are not committed, so that
-    /// every decision sees the last one's result.
+    /// Returns the commands that should be committed now. Waits until earlier decisions are committed, so
+    /// that each decision is based on the result of the previous one.
     pub fn decide(&mut self, moment: Moment, board: &Blackboard, options: &Options) -> Vec<CommandBody> {
         let now = moment.monotonic;
-        if self.uncommitted > 0 || now < self.decide_at {
+        if self.uncommitted > 0 || now < self.next_decision_at {
             return Vec::new();
         }
-        self.decide_at = now + DECIDE_EVERY_MS;
-        let heard_until = self.hearing.heard_until(now);
+        self.next_decision_at = now + DECISION_INTERVAL_MS;
+        let observed_until = self.input_lag.observed_until(now);
         let mut commands = Vec::new();
-        commands.extend(daemon_changes(board.tables(), &self.answers.leases, &mut self.askers, heard_until));
-        commands.extend(self.lost_state.check(board, now));
+        commands.extend(daemon_changes(
+            board.tables(),
+            &self.responder.leases,
+            &mut self.requesters,
+            observed_until,
+        ));
+        commands.extend(self.mismatch_detector.check(board, now));
         commands.extend(placement(board, now, options.placement));
-        let gateway = self.gateway.decide(heard_until, &board.tables().gateway, options.grouping);
+        let gateway = self.gateway.decide(observed_until, &board.tables().gateway, options.grouping);
         commands.extend(gateway.into_iter().map(CommandBody::Gateway));
         commands.extend(expired_suspicions(board.tables(), moment.wall_ms));
         self.uncommitted = commands.len();
         commands
     }
 
-    /// One of the controllers' commands was committed.
+    /// A controller command was committed.
     pub fn controller_command_committed(&mut self) {
         self.uncommitted = self.uncommitted.saturating_sub(1);
     }
@@ -180,10 +186,10 @@
         board: &Blackboard,
         in_force_revision: u64,
         leader: &str,
-        voters: &[VoterShown],
+        voters: &[VoterStatus],
         now: Millis,
     ) -> Vec<u8> {
-        let head = ViewHead { leader, term: self.term, in_force_revision, voters };
-        control_view(board, &self.answers.leases, head, now)
+        let header = ViewHeader { leader, term: self.term, in_force_revision, voters };
+        control_view(board, &self.responder.leases, header, now)
     }
 }
--- a/crates/control/src/lease_proxy.rs
+++ b/crates/control/src/lease_proxy.rs
@@ -1,119 +1,125 @@
-//! A voter that grants leases in the leader's name.
+//! A voter that grants leases on behalf of the leader.
 //!
-//! In a large fleet answering each daemon's requests would take most of the leader's processor. So daemons ask the other voters, which hold the same tables. A voter reports to the leader in one message
-//! which daemons have asked, and answers them once the leader has taken note of them:
+//! In a large fleet, answering the requests of all daemons would take most of the leader's CPU time. So
+//! daemons ask the other voters, which hold the same tables. A voter reports the daemons that have asked to
+//! the leader in batches, and answers them once the leader has acknowledged the batch:
 //!
-//! - The leader counts a daemon's lease from the moment at which it took note, which is after the daemon sent its request,
-//!   from which the daemon counts. So, as with a direct request, the leader's idea of a lease never ends first.
-//! - The leader names its revision at that moment. The voter answers only once it has applied it, and the answer brings the
-//!   daemon there, so a lease never covers a state older than the request.
-//! - A voter that loses the leader grants nothing: daemons that it can't serve within [`WAIT_MS`] are sent elsewhere.
+//! - The leader counts a daemon's lease from the moment of its acknowledgement, which is after the daemon
+//!   sent its request, from which the daemon counts. So, as with direct requests, a lease never ends earlier
+//!   on the leader's side.
+//! - The acknowledgement names the leader's current revision. The voter answers only once it has applied that
+//!   revision, and the answer brings the daemon there, so a lease never covers a state older than the
+//!   request.
+//! - A voter that loses its leader grants nothing: daemons that it can't serve within [`MAX_WAIT_MS`] are
+//!   redirected.
 
 use crate::Millis;
 use crate::blackboard::Blackboard;
 use crate::driver_io::Output;
-use crate::lease_answers::{Grantor, LeaseAnswers};
+use crate::lease_responder::{GrantHeader, LeaseResponder};
 use crate::leases::LEASE_MS;
 use dockwood_api::peer::{DelegatedRequest, DelegationAnswer, LeaseAnswer, LeaseRequest};
 use dockwood_state::Tables;
 use std::net::SocketAddr;
 
-/// Least time between two messages to the leader: requests that arrive meanwhile go together.
-const GATHER_MS: Millis = 40;
-/// How long a request may wait for the leader's word, and for this voter to apply what the leader has committed.
-const WAIT_MS: Millis = 300;
+/// Minimum time between two batches to the leader; requests that arrive in between are sent together.
+const BATCH_INTERVAL_MS: Millis = 40;
+/// Maximum time for which a request may wait for the leader's acknowledgement, and for this voter to apply
+/// the leader's revision.
+const MAX_WAIT_MS: Millis = 300;
 
-/// A request that waits for the leader's word.
+/// A request that waits for the leader's acknowledgement.
 #[derive(Debug)]
-struct Waiting<R> {
+struct PendingRequest<R> {
     request: LeaseRequest,
     reply: R,
     since: Millis,
 }
 
-/// Requests of which the leader has taken note, while this voter has not applied the leader's revision yet.
+/// Requests that the leader acknowledged at a revision that this voter has not applied yet.
 #[derive(Debug)]
-struct Noted<R> {
+struct AcknowledgedBatch<R> {
     revision: u64,
-    requests: Vec<Waiting<R>>,
+    requests: Vec<PendingRequest<R>>,
 }
 
-/// A message to the leader that has no answer yet.
+/// A batch that the leader has not answered yet.
 #[derive(Debug)]
-struct Sent<R> {
+struct SentBatch<R> {
     number: u64,
-    requests: Vec<Waiting<R>>,
+    requests: Vec<PendingRequest<R>>,
 }
 
-/// One voter's part.
+/// Lease proxy state of one voter.
 #[derive(Debug)]
 pub(crate) struct LeaseProxy<R> {
-    answers: LeaseAnswers<R>,
-    waiting: Vec<Waiting<R>>,
-    sent: Option<Sent<R>>,
-    noted: Vec<Noted<R>>,
+    responder: LeaseResponder<R>,
+    pending: Vec<PendingRequest<R>>,
+    sent: Option<SentBatch<R>>,
+    acknowledged: Vec<AcknowledgedBatch<R>>,
     next_number: u64,
-    send_at: Millis,
-    prune_at: Millis,
-    /// The leader's term, as it last answered.
+    next_batch_at: Millis,
+    next_prune_at: Millis,
+    /// The leader's term in its latest acknowledgement.
     term: u64,
 }
 
 impl<R> LeaseProxy<R> {
-    /// A proxy that nobody has asked yet.
+    /// Creates a proxy without requests.
     pub fn new(now: Millis) -> Self {
         LeaseProxy {
-            answers: LeaseAnswers::new(now),
-            waiting: Vec::new(),
+            responder: LeaseResponder::new(now),
+            pending: Vec::new(),
             sent: None,
-            noted: Vec::new(),
+            acknowledged: Vec::new(),
             next_number: 1,
-            send_at: now,
-            prune_at: now,
+            next_batch_at: now,
+            next_prune_at: now,
             term: 0,
         }
     }
 
-    /// Takes a daemon's request.
-    pub fn take(&mut self, now: Millis, request: LeaseRequest, reply: R) {
-        self.waiting.push(Waiting { request, reply, since: now });
+    /// Queues a daemon's request.
+    pub fn enqueue(&mut self, now: Millis, request: LeaseRequest, reply: R) {
+        self.pending.push(PendingRequest { request, reply, since: now });
     }
 
-    /// The message to the leader that is due now, with its number.
-    pub fn message_due(&mut self, now: Millis, tables: &Tables) -> Option<(u64, Vec<DelegatedRequest>)> {
-        if self.waiting.is_empty() || self.sent.is_some() || now < self.send_at {
+    /// Returns the batch to send to the leader now, with its number.
+    pub fn next_batch(&mut self, now: Millis, tables: &Tables) -> Option<(u64, Vec<DelegatedRequest>)> {
+        if self.pending.is_empty() || self.sent.is_some() || now < self.next_batch_at {
             return None;
         }
-        self.send_at = now + GATHER_MS;
-        let requests = std::mem::take(&mut self.waiting);
-        let delegated = requests.iter().map(|waiting| delegated(tables, &waiting.request)).collect();
+        self.next_batch_at = now + BATCH_INTERVAL_MS;
+        let requests = std::mem::take(&mut self.pending);
+        let delegated_requests =
+            requests.iter().map(|pending| delegated_request(tables, &pending.request)).collect();
         let number = self.next_number;
         self.next_number += 1;
-        self.sent = Some(Sent { number, requests });
-        Some((number, delegated))
+        self.sent = Some(SentBatch { number, requests });
+        Some((number, delegated_requests))
     }
 
-    /// Takes the leader's answer; `None` if there was none. An answer to an earlier message changes nothing.
-    pub fn answered(&mut self, number: u64, answer: Option<&DelegationAnswer>) {
+    /// Handles the leader's answer, or `None` if there was none. Answers to earlier batches are ignored.
+    pub fn handle_answer(&mut self, number: u64, answer: Option<&DelegationAnswer>) {
         let Some(sent) = self.sent.take_if(|sent| sent.number == number) else { return };
         match answer {
             Some(DelegationAnswer::Noted { term, revision, .. }) => {
                 self.term = *term;
-                self.noted.push(Noted { revision: *revision, requests: sent.requests });
+                self.acknowledged.push(AcknowledgedBatch { revision: *revision, requests: sent.requests });
             }
-            // Sent again, to the leader of that time.
-            Some(DelegationAnswer::NotLeader { .. }) | None => self.waiting.extend(sent.requests),
+            // Sent again, to whoever is leader then.
+            Some(DelegationAnswer::NotLeader { .. }) | None => self.pending.extend(sent.requests),
         }
     }
 
-    /// Another leader was elected: what the former one has not answered goes to it.
+    /// Queues unanswered requests again after a change of leader.
     pub fn leader_changed(&mut self) {
         if let Some(sent) = self.sent.take() {
-            self.waiting.extend(sent.requests);
+            self.pending.extend(sent.requests);
         }
     }
 
-    /// Answers requests that the leader has noted, and sends away those that have waited for too long.
+    /// Answers requests that the leader has acknowledged, and redirects those that have waited for too long.
     pub fn answer_due(
         &mut self,
         now: Millis,
@@ -121,64 +127,66 @@
         leader: Option<SocketAddr>,
         in_force_revision: u64,
     ) -> Vec<Output<R>> {
-        self.hold_noted(now, board.revision());
-        self.forget_ended(now);
-        let mut outputs = self.refuse_late(now, leader);
-        let grantor = Grantor { term: self.term, leader, in_force_revision };
-        outputs.extend(self.answers.answer_due(now, board, grantor, |_| None));
+        self.hold_acknowledged(now, board.revision());
+        self.drop_expired(now);
+        let mut outputs = self.redirect_timed_out(now, leader);
+        let header = GrantHeader { term: self.term, leader, in_force_revision };
+        outputs.extend(self.responder.answer_due(now, board, header, |_| None));
         outputs
     }
 
-    /// All requests that wait, which this node does not answer any more.
+    /// Takes all pending requests; this node no longer answers them.
     pub fn take_all(&mut self) -> Vec<(LeaseRequest, R)> {
         let sent = self.sent.take().into_iter().flat_map(|sent| sent.requests);
-        let noted = self.noted.drain(..).flat_map(|noted| noted.requests);
-        let waiting = self.waiting.drain(..).chain(sent).chain(noted);
+        let acknowledged = self.acknowledged.drain(..).flat_map(|acknowledged| acknowledged.requests);
+        let pending = self.pending.drain(..).chain(sent).chain(acknowledged);
         let mut all: Vec<(LeaseRequest, R)> =
-            waiting.map(|waiting| (waiting.request, waiting.reply)).collect();
-        let held = self.answers.leases.take_held().into_iter();
+            pending.map(|pending| (pending.request, pending.reply)).collect();
+        let held = self.responder.leases.take_held().into_iter();
         all.extend(held.map(|held| (held.request, held.reply)));
         all
     }
 
-    /// Requests whose leader's revision is applied here wait for news like those at the leader.
-    fn hold_noted(&mut self, now: Millis, applied: u64) {
-        let is_covered = |noted: &mut Noted<R>| noted.revision <= applied;
-        for noted in self.noted.extract_if(.., is_covered) {
-            for Waiting { request, reply, since } in noted.requests {
-                self.answers.leases.extend(now, &request);
-                self.answers.leases.hold_since(now, since, request, reply);
+    /// Holds acknowledged requests, once the leader's revision is applied here, until there is a
+    /// notification; as the leader does.
+    fn hold_acknowledged(&mut self, now: Millis, applied: u64) {
+        let is_covered = |acknowledged: &mut AcknowledgedBatch<R>| acknowledged.revision <= applied;
+        for acknowledged in self.acknowledged.extract_if(.., is_covered) {
+            for PendingRequest { request, reply, since } in acknowledged.requests {
+                self.responder.leases.renew(now, &request);
+                self.responder.leases.hold_since(now, since, request, reply);
             }
         }
     }
 
-    /// Daemons that ask elsewhere now are no longer counted here.
-    fn forget_ended(&mut self, now: Millis) {
-        if now >= self.prune_at {
-            self.prune_at = now + LEASE_MS;
-            self.answers.leases.forget_ended(now);
+    /// Drops leases of daemons that ask elsewhere now.
+    fn drop_expired(&mut self, now: Millis) {
+        if now >= self.next_prune_at {
+            self.next_prune_at = now + LEASE_MS;
+            self.responder.leases.drop_expired(now);
         }
     }
 
-    fn refuse_late(&mut self, now: Millis, leader: Option<SocketAddr>) -> Vec<Output<R>> {
-        let is_late = |waiting: &mut Waiting<R>| now >= waiting.since + WAIT_MS;
-        let mut late: Vec<Waiting<R>> = self.waiting.extract_if(.., is_late).collect();
+    fn redirect_timed_out(&mut self, now: Millis, leader: Option<SocketAddr>) -> Vec<Output<R>> {
+        let has_timed_out = |pending: &mut PendingRequest<R>| now >= pending.since + MAX_WAIT_MS;
+        let mut timed_out: Vec<PendingRequest<R>> = self.pending.extract_if(.., has_timed_out).collect();
         if let Some(sent) = &mut self.sent {
-            late.extend(sent.requests.extract_if(.., is_late));
+            timed_out.extend(sent.requests.extract_if(.., has_timed_out));
         }
-        for noted in &mut self.noted {
-            late.extend(noted.requests.extract_if(.., is_late));
+        for acknowledged in &mut self.acknowledged {
+            timed_out.extend(acknowledged.requests.extract_if(.., has_timed_out));
         }
         self.sent.take_if(|sent| sent.requests.is_empty());
-        self.noted.retain(|noted| !noted.requests.is_empty());
-        let refusal =
-            |waiting: Waiting<R>| Output::LeaseReply(waiting.reply, LeaseAnswer::NotLeader { leader });
-        late.into_iter().map(refusal).collect()
+        self.acknowledged.retain(|acknowledged| !acknowledged.requests.is_empty());
+        let redirect =
+            |pending: PendingRequest<R>| Output::LeaseReply(pending.reply, LeaseAnswer::NotLeader { leader });
+        timed_out.into_iter().map(redirect).collect()
     }
 }
 
-/// What the leader must know of a request. It has the daemon's record, unless that has changed.
-fn delegated(tables: &Tables, request: &LeaseRequest) -> DelegatedRequest {
+/// The part of a request that the leader needs. The daemon's record is included only if the leader's tables
+/// lack it.
+fn delegated_request(tables: &Tables, request: &LeaseRequest) -> DelegatedRequest {
     let known = tables.daemons.get(&request.daemon.name);
     let is_known = known.is_some_and(|known| known.record == request.daemon);
     DelegatedRequest {
--- a/crates/control/src/lease_requests.rs
+++ b/crates/control/src/lease_requests.rs
@@ -1,121 +1,122 @@
-//! What a voter does with requests for leases: the leader answers them; another voter of a large fleet does in its name,
-//! or sends the daemon to the leader.
+//! Routes lease requests: the leader answers them itself; another voter of a large fleet answers on its
+//! behalf or redirects the daemon to the leader.
 
 use crate::Millis;
 use crate::driver_io::{Moment, Output};
-use crate::lease_answers::Grantor;
+use crate::lease_responder::GrantHeader;
 use crate::node::ControlNode;
-use crate::voter::VoterPart;
+use crate::voter::VoterState;
 use dockwood_api::digest::rendezvous_weight;
 use dockwood_api::peer::{DelegatedRequest, DelegationAnswer, LeaseAnswer, LeaseRequest};
 use dockwood_consensus::Voter;
 use std::net::SocketAddr;
 
-/// A voter that has not answered the leader for this long is named to no daemon.
+/// Daemons are not referred to a voter that has not answered the leader for this long.
 const VOTER_SILENT_MS: Millis = 500;
 
-/// A voter that may grant leases in the leader's name.
+/// A voter that may grant leases on behalf of the leader.
 #[derive(Debug)]
-struct Grantable {
+struct LeaseVoter {
     address: SocketAddr,
     zone: Option<String>,
 }
 
 impl<R> ControlNode<R> {
-    pub(crate) fn take_lease_request(&mut self, now: Moment, request: LeaseRequest, reply: R) {
+    pub(crate) fn handle_lease_request(&mut self, now: Moment, request: LeaseRequest, reply: R) {
         let leader = self.leader_address();
-        let (leads, delegates) = (self.leads(now), self.delegates());
+        let (leads, delegates_leases) = (self.leads(now), self.delegates_leases());
         let is_voter = self.is_voter();
         match &mut self.voter {
-            Some(VoterPart { leadership: Some(leadership), .. }) if leads => {
-                leadership.take_lease_request(now.monotonic, request, reply);
+            Some(VoterState { leader_state: Some(leader_state), .. }) if leads => {
+                leader_state.handle_lease_request(now.monotonic, request, reply);
             }
-            Some(VoterPart { leadership: None, proxy, .. })
-                if delegates && is_voter && leader.is_some() && request.wants_commands =>
+            Some(VoterState { leader_state: None, proxy, .. })
+                if delegates_leases && is_voter && leader.is_some() && request.wants_commands =>
             {
-                proxy.take(now.monotonic, request, reply);
+                proxy.enqueue(now.monotonic, request, reply);
             }
             _ => self.outputs.push(Output::LeaseReply(reply, LeaseAnswer::NotLeader { leader })),
         }
     }
 
-    /// Whether the fleet is so large that voters grant leases in the leader's name.
-    fn delegates(&self) -> bool {
+    /// Whether the fleet is so large that voters grant leases on behalf of the leader.
+    fn delegates_leases(&self) -> bool {
         self.board.tables().daemons.len() > self.options.leader_leases_up_to
     }
 
-    /// At the leader: another voter reports which daemons have asked it.
-    pub(crate) fn take_delegated(&mut self, now: Moment, requests: &[DelegatedRequest], reply: R) {
+    /// On the leader: another voter reports the daemons that have asked it.
+    pub(crate) fn record_delegated_requests(&mut self, now: Moment, requests: &[DelegatedRequest], reply: R) {
         let leader = self.leader_address();
         let leads = self.leads(now);
         let revision = self.board.revision();
         let in_force_revision = self.in_force_revision;
-        let leadership = self.voter.as_mut().and_then(|voter| voter.leadership.as_mut());
-        let answer = match leadership.filter(|_| leads) {
-            Some(leadership) => {
-                leadership.take_delegated(now.monotonic, requests);
-                DelegationAnswer::Noted { term: leadership.term, revision, in_force_revision }
+        let leader_state = self.voter.as_mut().and_then(|voter| voter.leader_state.as_mut());
+        let answer = match leader_state.filter(|_| leads) {
+            Some(leader_state) => {
+                leader_state.record_delegated_requests(now.monotonic, requests);
+                DelegationAnswer::Noted { term: leader_state.term, revision, in_force_revision }
             }
             None => DelegationAnswer::NotLeader { leader },
         };
         self.outputs.push(Output::DelegationReply(reply, answer));
     }
 
-    /// At another voter: the leader has answered, or has not.
-    pub(crate) fn delegation_answered(&mut self, number: u64, answer: Option<DelegationAnswer>) {
+    /// On another voter: handles the leader's answer, or `None` if there was none.
+    pub(crate) fn handle_delegation_answer(&mut self, number: u64, answer: Option<DelegationAnswer>) {
         if let Some(DelegationAnswer::Noted { in_force_revision, .. }) = answer {
             self.raise_in_force(in_force_revision);
         }
         if let Some(voter) = &mut self.voter {
-            voter.proxy.answered(number, answer.as_ref());
+            voter.proxy.handle_answer(number, answer.as_ref());
         }
     }
 
-    /// Answers requests for leases that are due, and reports to the leader those that came to this voter.
+    /// Answers the lease requests that are due, and reports those received by this voter to the leader.
     pub(crate) fn answer_leases(&mut self, now: Moment) {
         self.answer_as_leader(now);
-        self.answer_for_leader(now);
+        self.answer_as_proxy(now);
     }
 
     fn answer_as_leader(&mut self, now: Moment) {
         let leads = self.leads(now);
         let leader = self.leader_address();
-        let grantable = if leads && self.delegates() { self.grantable(now) } else { Vec::new() };
+        let lease_voters = if leads && self.delegates_leases() { self.lease_voters(now) } else { Vec::new() };
         let in_force_revision = self.in_force_revision;
-        let Some(leadership) = self.voter.as_mut().and_then(|voter| voter.leadership.as_mut()) else {
+        let Some(leader_state) = self.voter.as_mut().and_then(|voter| voter.leader_state.as_mut()) else {
             return;
         };
         let answers = if leads {
-            let grantor = Grantor { term: leadership.term, leader, in_force_revision };
-            let ask_next = |request: &LeaseRequest| assigned(&grantable, request);
-            leadership.answers.answer_due(now.monotonic, &self.board, grantor, ask_next)
+            let header = GrantHeader { term: leader_state.term, leader, in_force_revision };
+            let ask_next = |request: &LeaseRequest| assigned_voter(&lease_voters, request);
+            leader_state.responder.answer_due(now.monotonic, &self.board, header, ask_next)
         } else {
-            leadership.answers.refuse_held(leader)
+            leader_state.responder.refuse_held(leader)
         };
         self.outputs.extend(answers);
     }
 
-    fn answer_for_leader(&mut self, now: Moment) {
+    fn answer_as_proxy(&mut self, now: Moment) {
         let leader = self.leader_address();
         let in_force_revision = self.in_force_revision;
-        let Some(VoterPart { proxy, leadership, .. }) = &mut self.voter else { return };
-        if let Some(leadership) = leadership {
+        let Some(VoterState { proxy, leader_state, .. }) = &mut self.voter else { return };
+        if let Some(leader_state) = leader_state {
             let requests = proxy.take_all().into_iter();
-            requests
-                .for_each(|(request, reply)| leadership.take_lease_request(now.monotonic, request, reply));
+            requests.for_each(|(request, reply)| {
+                leader_state.handle_lease_request(now.monotonic, request, reply)
+            });
             return;
         }
-        let message = leader.and_then(|leader| {
-            let (number, requests) = proxy.message_due(now.monotonic, self.board.tables())?;
+        let batch = leader.and_then(|leader| {
+            let (number, requests) = proxy.next_batch(now.monotonic, self.board.tables())?;
             Some(Output::DelegateLeases { leader, number, requests })
         });
-        self.outputs.extend(message);
+        self.outputs.extend(batch);
         let answers = proxy.answer_due(now.monotonic, &self.board, leader, in_force_revision);
         self.outputs.extend(answers);
     }
 
-    /// The other voters that answer the leader.
-    fn grantable(&mut self, now: Moment) -> Vec<Grantable> {
+    /// The other voters that currently answer the leader.
+    fn lease_voters(&mut self, now: Moment) -> Vec<LeaseVoter> {
         let zones = self.voter_zones();
         let Some(voter) = &self.voter else { return Vec::new() };
         let silent_for = voter.core.silent_for(now.monotonic);
@@ -123,19 +124,20 @@
             |known: &Voter| silent_for.get(&known.id).is_some_and(|silent| *silent < VOTER_SILENT_MS);
         let others = voter.known_voters().into_iter().filter(answers);
         others
-            .map(|known| Grantable { address: known.address, zone: zones.get(&known.id).cloned() })
+            .map(|known| LeaseVoter { address: known.address, zone: zones.get(&known.id).cloned() })
             .collect()
     }
 }
 
-/// The voter that a daemon should ask, one of its zone if there is any: all daemons of a zone are spread evenly.
-fn assigned(grantable: &[Grantable], request: &LeaseRequest) -> Option<SocketAddr> {
+/// The voter that a daemon should ask, preferably in its zone; rendezvous hashing spreads the daemons of a
+/// zone evenly.
+fn assigned_voter(lease_voters: &[LeaseVoter], request: &LeaseRequest) -> Option<SocketAddr> {
     if !request.wants_commands {
         return None;
     }
     let zone = &request.daemon.zone;
-    let is_near = |voter: &&Grantable| voter.zone.as_ref() == Some(zone);
-    let by_weight = |voter: &&Grantable| rendezvous_weight(&request.daemon.name, &voter.address.to_string());
-    let near = grantable.iter().filter(is_near).max_by_key(by_weight);
-    near.or_else(|| grantable.iter().max_by_key(by_weight)).map(|voter| voter.address)
+    let is_in_zone = |voter: &&LeaseVoter| voter.zone.as_ref() == Some(zone);
+    let by_weight = |voter: &&LeaseVoter| rendezvous_weight(&request.daemon.name, &voter.address.to_string());
+    let in_zone = lease_voters.iter().filter(is_in_zone).max_by_key(by_weight);
+    in_zone.or_else(|| lease_voters.iter().max_by_key(by_weight)).map(|voter| voter.address)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,53 +1,56 @@
-//! Control logic of one daemon as a pure state machine: the replicated log with its state, configuration
-//! leases, what is in force, and the controllers that only the leader runs.
+//! Control logic of one daemon as a pure state machine: the replicated log and its state, configuration
+//! leases, the in-force revision, and the controllers that only the leader runs.
 //!
-//! A driver feeds [`Input`]s with the time to [`ControlNode::step`] and carries out the [`Output`]s in order.
-//! There is no I/O, clock or thread here: the daemon's control thread, the simulator and the hollow fleet drive
-//! the very same code. What is decided lies in `placement`, what must hold in `state`.
+//! A driver passes timestamped [`Input`]s to [`ControlNode::step`] and carries out the [`Output`]s in order.
+//! There is no I/O, clock or thread in this crate: the daemon's control thread, the simulator and the fleet
+//! tests without real daemons run the same code. Placement decisions are made in `placement`, invariants are
+//! enforced in `state`.
 
-mod account;
+mod address_takeovers;
 mod admission;
-mod announcement;
+mod announcements;
 mod blackboard;
 mod catch_up;
-mod census;
 mod compression;
+mod consensus_outputs;
 mod controllers;
-mod copies;
-mod core_outputs;
 mod daemon_changes;
 mod driver_io;
+mod entry_summary;
 mod gateway;
 mod gateway_inputs;
-mod hearing;
+mod input_lag;
 mod leader;
-mod leading;
-mod lease_answers;
 mod lease_proxy;
 mod lease_requests;
+mod lease_responder;
 mod leases;
 mod node;
 mod own_lease;
-mod successors;
+mod snapshot_sources;
+mod timeline;
 mod view;
 mod voter;
+mod voter_turn;
 mod voter_zones;
 mod zone_balance;
 
-pub use account::Account;
-pub use admission::{Candidates, Group, voters_to_lose};
-pub use announcement::Announcements;
+pub use admission::{Candidates, VoterGroup, voters_to_lose};
+pub use announcements::Announcements;
 pub use blackboard::{Blackboard, Observed};
 pub use catch_up::{CatchUp, RetainedCommands};
-pub use census::{EntryCensus, FromDaemons};
 pub use compression::{compress, decompress};
 pub use dockwood_grouping::{GroupingPolicy, ProbeResult};
 pub use driver_io::{GrantedLease, Input, Moment, OrderToSend, Output, StoredSnapshot};
-pub use gateway::{GatewayLeadership, InstanceProbe, ProbeQuestion};
-pub use hearing::{Hearing, PULSE_EVERY_MS};
-pub use leases::{FETCH_TIMEOUT_MS, HOLD_MS, LEASE_ANSWER_TIMEOUT_MS, LEASE_MS, LeaseTable, News};
+pub use entry_summary::{EntryCensus, FromDaemons};
+pub use gateway::{GatewayLeaderState, InstanceProbe, ProbeQuestion};
+pub use input_lag::{InputLag, PULSE_EVERY_MS};
+pub use leases::{
+    FETCH_TIMEOUT_MS, LEASE_ANSWER_TIMEOUT_MS, LEASE_MS, LONG_POLL_MS, LeaseTable, Notification,
+};
 pub use node::{ControlNode, LEADER_LEASES_UP_TO, Options, voters_of};
+pub use timeline::TimelineEvent;
 pub use zone_balance::{ZoneCounts, ZonesById};
 
-/// Monotonic time of this process, in milliseconds.
+/// Monotonic time of this process in milliseconds.
 pub type Millis = u64;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,14 +1,15 @@
-//! The control node: takes inputs, drives the consensus core and the leader's controllers, and gathers outputs.
+//! The control node: handles inputs, drives the consensus core and the leader's controllers, and collects
+//! outputs.
 
 use crate::Millis;
-use crate::account::{Account, accounts};
 use crate::admission::voters_to_lose;
 use crate::blackboard::Blackboard;
-use crate::catch_up::EncodedState;
-use crate::census::{EntryCensus, FromDaemons};
+use crate::catch_up::SnapshotCache;
 use crate::driver_io::{Input, Moment, Output};
-use crate::leader::{Leadership, record_observations};
-use crate::voter::{VoterPart, Waiter};
+use crate::entry_summary::{EntryCensus, FromDaemons};
+use crate::leader::{LeaderState, record_observations};
+use crate::timeline::{TimelineEvent, timeline_events};
+use crate::voter::{VoterState, Waiter};
 use crate::voter_zones::MemberZones;
 use dockwood_api::ResultCode;
 use dockwood_api::event::Subject;
@@ -20,25 +21,26 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Daemons up to which the leader answers all requests for leases itself, unless the settings say otherwise.
+/// Default number of daemons up to which the leader answers all lease requests itself.
 pub const LEADER_LEASES_UP_TO: usize = 200;
 
-/// Parameters of a control node.
+/// Configuration of a control node.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Entries in the log before a snapshot replaces them.
+    /// Log entries after which a snapshot replaces them.
     pub compact_after_entries: u64,
-    /// How the leader places replicas.
+    /// Placement policy of the leader.
     pub placement: PlacementPolicy,
-    /// Bounds of the gateway's engines.
+    /// Grouping policy of the gateway's engines.
     pub grouping: GroupingPolicy,
-    /// By how much the rate that cold servers declare may be exceeded, over all daemons.
+    /// By how much the rate declared by cold servers may be exceeded, over all daemons.
     pub cold_limit: ColdLimit,
-    /// Voters that the control group keeps when it can.
+    /// Number of voters to keep if enough members are available.
     pub usual_voters: usize,
-    /// Whether the loss of a whole zone is to be borne: then no zone may hold half of the voters.
+    /// Whether to tolerate the loss of a whole zone: then no zone may hold half of the voters.
     pub bears_zone_loss: bool,
-    /// Daemons up to which the leader answers all requests for leases itself; with more, the other voters do in its name.
+    /// Number of daemons up to which the leader answers all lease requests itself; with more daemons the
+    /// other voters grant leases on its behalf.
     pub leader_leases_up_to: usize,
 }
 
@@ -57,7 +59,7 @@
     }
 }
 
-/// Commands gathered from the inputs of one turn, to be proposed together.
+/// Commands collected from the inputs of one turn, to be proposed together.
 #[derive(Debug)]
 pub(crate) struct Batch<R> {
     pub commands: Vec<Vec<u8>>,
@@ -76,22 +78,22 @@
     pub(crate) name: String,
     pub(crate) options: Options,
     pub(crate) board: Blackboard,
-    pub(crate) voter: Option<VoterPart<R>>,
+    pub(crate) voter: Option<VoterState<R>>,
     pub(crate) in_force_revision: u64,
     pub(crate) dirty: bool,
-    /// Commands of the inputs taken since the last settling.
+    /// Commands of the inputs handled in the current turn.
     batch: Batch<R>,
-    pub(crate) entries: FromDaemons<EntryCensus>,
+    pub(crate) entry_summary: FromDaemons<EntryCensus>,
     /// Zones of the daemons that may be voters, by peer address.
     pub(crate) member_zones: FromDaemons<MemberZones>,
-    pub(crate) in_force_at: Millis,
-    /// The state for daemons that are sent here to fetch it.
-    copy: EncodedState,
+    pub(crate) next_in_force_check_at: Millis,
+    /// Snapshot for daemons that are referred to this one.
+    snapshot_cache: SnapshotCache,
     pub(crate) outputs: Vec<Output<R>>,
 }
 
 impl<R> ControlNode<R> {
-    /// A daemon that is no voter: it learns everything with its leases.
+    /// Creates a daemon that is not a voter: it learns the state with its leases.
     pub fn follower(name: &str) -> Self {
         ControlNode {
             name: name.to_string(),
@@ -101,42 +103,42 @@
             in_force_revision: 0,
             dirty: true,
             batch: Batch::default(),
-            entries: FromDaemons::default(),
+            entry_summary: FromDaemons::default(),
             member_zones: FromDaemons::default(),
-            in_force_at: 0,
-            copy: EncodedState::default(),
+            next_in_force_check_at: 0,
+            snapshot_cache: SnapshotCache::default(),
             outputs: Vec::new(),
         }
     }
 
-    /// A member of the control group, with the state of its stored snapshot and the peer addresses of all.
+    /// Creates a member of the control group from its stored snapshot and the peer addresses of all members.
     pub fn voter(name: &str, state: State, core: Node, addresses: BTreeMap<u64, SocketAddr>) -> Self {
         let board = Blackboard::new(state);
-        ControlNode { board, voter: Some(VoterPart::new(core, addresses)), ..ControlNode::follower(name) }
+        ControlNode { board, voter: Some(VoterState::new(core, addresses)), ..ControlNode::follower(name) }
     }
 
-    /// The same node with other parameters.
+    /// Replaces the options.
     pub fn with_options(self, options: Options) -> Self {
         ControlNode { options, ..self }
     }
 
-    /// Takes one input and returns what is to be done, in order.
+    /// Handles one input as a turn of its own and returns the outputs in order.
     pub fn step(&mut self, now: Moment, input: Input<R>) -> Vec<Output<R>> {
         self.take(now, input);
         self.settle(now)
     }
 
-    /// Takes one input. What follows from it is left to [`ControlNode::settle`], so that inputs that arrive together
-    /// share one proposal and one run of the controllers.
+    /// Handles one input. Everything that follows from it is deferred to [`ControlNode::settle`], so that
+    /// inputs that arrive together share one proposal and one run of the controllers.
     pub fn take(&mut self, now: Moment, input: Input<R>) {
         let mut batch = std::mem::take(&mut self.batch);
         self.dispatch(now, input, &mut batch);
         self.batch = batch;
     }
 
-    /// Decides on all that was taken, and returns what is to be done, in order.
+    /// Ends a turn: processes the inputs handled so far and returns the outputs in order.
     pub fn settle(&mut self, now: Moment) -> Vec<Output<R>> {
-        self.drive(now, consensus::Input::Tick);
+        self.step_core(now, consensus::Input::Tick);
         let batch = std::mem::take(&mut self.batch);
         self.propose(now, batch);
         self.run_controllers(now);
@@ -150,17 +152,17 @@
         match input {
             Input::Tick => {}
             Input::Pulse => {
-                if let Some(leadership) = self.leadership_mut() {
-                    leadership.pulse(now.monotonic);
+                if let Some(leader_state) = self.leader_state_mut() {
+                    leader_state.record_pulse(now.monotonic);
                 }
             }
             Input::Consensus(messages) => self.receive(now, messages),
-            Input::Submit(commands) => self.take_commands(now, commands, batch),
-            Input::Lease(request, reply) => self.take_lease_request(now, request, reply),
-            Input::Delegate(requests, reply) => self.take_delegated(now, &requests, reply),
-            Input::Delegated { number, answer } => self.delegation_answered(number, answer),
+            Input::Submit(commands) => self.collect_commands(now, commands, batch),
+            Input::Lease(request, reply) => self.handle_lease_request(now, request, reply),
+            Input::Delegate(requests, reply) => self.record_delegated_requests(now, &requests, reply),
+            Input::Delegated { number, answer } => self.handle_delegation_answer(number, answer),
             Input::Observe(term, observations, reply) => {
-                let leads_term = self.leadership().is_some_and(|leadership| leadership.term == term);
+                let leads_term = self.leader_state().is_some_and(|leader_state| leader_state.term == term);
                 if leads_term {
                     record_observations(&mut self.board.observed, now.monotonic, observations);
                 }
@@ -170,10 +172,10 @@
                 let view = self.view(now);
                 self.outputs.push(Output::ViewReply(reply, view));
             }
-            Input::LeaseGranted(lease) => self.take_lease(lease),
+            Input::LeaseGranted(lease) => self.apply_lease(lease),
             Input::OrderAnswered { server, fence, done } => {
-                if let Some(leadership) = self.leadership_mut() {
-                    leadership.order_answered(now.monotonic, &server, fence, done);
+                if let Some(leader_state) = self.leader_state_mut() {
+                    leader_state.record_order_answer(now.monotonic, &server, fence, done);
                 }
                 if done {
                     batch.add(now, CommandBody::OrderDone { server, fence });
@@ -189,33 +191,31 @@
                 self.outputs.push(Output::PlaceReply(reply, place));
             }
             Input::GroupOrderAnswered(order, answer) => {
-                if let Some(leadership) = self.leadership_mut() {
-                    leadership.gateway.order_answered(now.monotonic, &order, answer);
+                if let Some(leader_state) = self.leader_state_mut() {
+                    leader_state.gateway.record_order_answer(now.monotonic, &order, answer);
                 }
             }
             Input::ServerLimits(limits) => {
-                if let Some(leadership) = self.leadership_mut() {
-                    leadership.gateway.note_limits(limits);
+                if let Some(leader_state) = self.leader_state_mut() {
+                    leader_state.gateway.set_server_limits(limits);
                 }
             }
             Input::Probed { instance, result, slowness } => {
-                if let Some(leadership) = self.leadership_mut() {
-                    leadership.gateway.probed(now.monotonic, &instance, result, slowness);
+                if let Some(leader_state) = self.leader_state_mut() {
+                    leader_state.gateway.record_probe(now.monotonic, &instance, result, slowness);
                 }
             }
             Input::AdmitVoter { id, address, zone, reply } => {
                 let leads = self.leads(now);
                 let leader = self.leader_address();
                 let answer = match self.voter.as_mut().filter(|_| leads) {
-                    Some(voter) => {
-                        AdmitAnswer::Noted(voter.take_candidate(now.monotonic, id, address, &zone))
-                    }
+                    Some(voter) => AdmitAnswer::Noted(voter.add_candidate(now.monotonic, id, address, &zone)),
                     None => AdmitAnswer::NotLeader { leader },
                 };
                 self.outputs.push(Output::AdmitReply(reply, answer));
             }
             Input::LearnVoters(records) => {
-                let voters: Vec<Voter> = records.into_iter().map(voter_of).collect();
+                let voters: Vec<Voter> = records.into_iter().map(to_voter).collect();
                 if let Some(voter) = &mut self.voter {
                     voter.learn_addresses(&voters);
                 }
@@ -227,20 +227,22 @@
             }
             Input::CopyState(reply) => {
                 let holds_state = self.board.revision() > 0;
-                let copy = holds_state.then(|| self.copy.recent(&self.board).to_vec());
+                let copy = holds_state.then(|| self.snapshot_cache.recent(&self.board).to_vec());
                 self.outputs.push(Output::CopyReply(reply, copy));
             }
             Input::Leaving(servers) => self.board.observed.machines.set_leaving(servers),
-            Input::Persisted { index, term } => self.drive(now, consensus::Input::Persisted { index, term }),
+            Input::Persisted { index, term } => {
+                self.step_core(now, consensus::Input::Persisted { index, term })
+            }
         }
     }
 
-    /// The replicated tables as applied here.
+    /// The replicated tables, as applied on this node.
     pub fn tables(&self) -> &Tables {
         self.board.tables()
     }
 
-    /// The whole replicated state as applied here.
+    /// The whole replicated state, as applied on this node.
     pub fn state(&self) -> &State {
         &self.board.state
     }
@@ -250,39 +252,39 @@
         &self.board
     }
 
-    /// Newest revision known to be in force everywhere.
+    /// The newest revision known to be in force everywhere.
     pub fn in_force_revision(&self) -> u64 {
         self.in_force_revision
     }
 
-    /// The consensus core, at a voter.
+    /// The consensus core, if this node is a member of the control group.
     pub fn core(&self) -> Option<&Node> {
         self.voter.as_ref().map(|voter| &voter.core)
     }
 
-    /// Whether this node leads, and nobody else can at this moment.
+    /// Whether this node leads and holds the leader lease, so that no other node can lead now.
     pub fn leads(&self, now: Moment) -> bool {
         self.voter.as_ref().is_some_and(|voter| voter.leads(now.monotonic))
     }
 
-    /// Forgets the first answers to operators' changes. For the simulator alone, which seeds this defect to see
-    /// whether its checks find it.
+    /// Drops the deduplication records of operators' changes. Only for the simulator, which injects this
+    /// defect to verify that its checks detect it.
     #[doc(hidden)]
     pub fn forget_change_ids(&mut self) {
         self.board.state.changes = Default::default();
     }
 
-    /// Whether anything that is published has changed since the last call.
+    /// Whether any published value has changed since the last call.
     pub fn take_dirty(&mut self) -> bool {
         std::mem::take(&mut self.dirty)
     }
 
-    pub(crate) fn leadership(&self) -> Option<&Leadership<R>> {
-        self.voter.as_ref()?.leadership.as_ref()
+    pub(crate) fn leader_state(&self) -> Option<&LeaderState<R>> {
+        self.voter.as_ref()?.leader_state.as_ref()
     }
 
-    fn leadership_mut(&mut self) -> Option<&mut Leadership<R>> {
-        self.voter.as_mut()?.leadership.as_mut()
+    fn leader_state_mut(&mut self) -> Option<&mut LeaderState<R>> {
+        self.voter.as_mut()?.leader_state.as_mut()
     }
 
     pub(crate) fn leader_address(&self) -> Option<SocketAddr> {
@@ -291,19 +293,20 @@
 
     fn receive(&mut self, now: Moment, messages: Vec<Message>) {
         for message in messages {
-            self.drive(now, consensus::Input::Receive(message));
+            self.step_core(now, consensus::Input::Receive(message));
         }
     }
 
-    fn take_commands(&mut self, now: Moment, commands: Vec<(Vec<u8>, R)>, batch: &mut Batch<R>) {
+    fn collect_commands(&mut self, now: Moment, commands: Vec<(Vec<u8>, R)>, batch: &mut Batch<R>) {
         let leads = self.leads(now);
         let leader = self.leader_address();
         for (command, reply) in commands {
             if !leads {
                 self.outputs.push(Output::SubmitReply(reply, SubmitReply::NotLeader { leader }));
             } else if let Err(error) = decode_command(&command) {
-                let failed = SubmitReply::Failed { code: error.code(), message: error.message().to_string() };
-                self.outputs.push(Output::SubmitReply(reply, failed));
+                let failure =
+                    SubmitReply::Failed { code: error.code(), message: error.message().to_string() };
+                self.outputs.push(Output::SubmitReply(reply, failure));
             } else {
                 batch.commands.push(command);
                 batch.waiters.push(Waiter::Caller(reply));
@@ -312,9 +315,9 @@
     }
 
     fn view(&mut self, now: Moment) -> ControlAnswer {
-        let voters = self.voters_shown(now);
-        match self.leadership() {
-            Some(leadership) if self.leads(now) => ControlAnswer::View(leadership.view(
+        let voters = self.voter_statuses(now);
+        match self.leader_state() {
+            Some(leader_state) if self.leads(now) => ControlAnswer::View(leader_state.view(
                 &self.board,
                 self.in_force_revision,
                 &self.name,
@@ -325,8 +328,8 @@
         }
     }
 
-    pub(crate) fn record_own(&mut self, reason: &str, message: &str, code: ResultCode) {
-        let account = Account {
+    pub(crate) fn record_event(&mut self, reason: &str, message: &str, code: ResultCode) {
+        let account = TimelineEvent {
             subject: Subject::new("daemon", &self.name),
             reason: reason.to_string(),
             message: message.to_string(),
@@ -337,31 +340,31 @@
 
     pub(crate) fn apply(&mut self, command: &Command) -> Applied {
         let applied = self.board.apply(command);
-        self.note_applied(command, &applied);
+        self.publish_applied(command, &applied);
         applied
     }
 
-    pub(crate) fn note_applied(&mut self, command: &Command, applied: &Applied) {
+    pub(crate) fn publish_applied(&mut self, command: &Command, applied: &Applied) {
         if !command.body.is_configuration() {
             return;
         }
         let revision = self.board.revision();
         self.outputs.push(Output::Touched { revision, keys: applied.touched.clone() });
         self.dirty = true;
-        // All voters record the time line, so that it survives any one of them.
+        // All voters record timeline events, so that they survive the loss of any one voter.
         if self.voter.is_some() {
-            for account in accounts(command, applied, self.board.tables()) {
+            for account in timeline_events(command, applied, self.board.tables()) {
                 self.outputs.push(Output::Record { account, revision: Some(revision) });
             }
         }
     }
 }
 
-fn voter_of(record: VoterRecord) -> Voter {
+fn to_voter(record: VoterRecord) -> Voter {
     Voter { id: record.id, address: record.address }
 }
 
-/// Voters by a state, in the core's terms.
+/// The voters of a state, as consensus voters.
 pub fn voters_of(state: &State) -> Vec<Voter> {
     state.voters.iter().map(|voter| Voter { id: voter.id, address: voter.address }).collect()
 }
--- a/crates/control/src/own_lease.rs
+++ b/crates/control/src/own_lease.rs
@@ -1,4 +1,4 @@
-//! What a daemon takes from its own lease: the state, what was committed since, and what is in force everywhere.
+//! Applies the content of this daemon's own lease: state, commands, and the in-force revision.
 
 use crate::Millis;
 use crate::compression::decompress;
@@ -7,37 +7,39 @@
 use dockwood_api::peer::{LeaseContent, RevisedCommand};
 use dockwood_state::decode_command;
 
-/// Daemons whose leases are all looked at in each turn, to find what is in force everywhere.
-const LOOKED_AT_EACH_TURN: usize = 64;
-/// Further daemons for each millisecond between two such looks: one takes some 0.2 microseconds for each daemon.
-const LOOKED_AT_PER_MS: usize = 10;
+/// Up to this many daemons, all leases are scanned in each turn to determine the in-force revision.
+const LEASES_SCANNED_EACH_TURN: usize = 64;
+/// Above, additional daemons per millisecond of delay between two scans; scanning takes about 0.2
+/// microseconds per daemon.
+const LEASES_SCANNED_PER_MS: usize = 10;
 
 impl<R> ControlNode<R> {
-    /// What came with this daemon's own lease.
-    pub(crate) fn take_lease(&mut self, lease: GrantedLease) {
+    /// Applies the content of this daemon's own lease.
+    pub(crate) fn apply_lease(&mut self, lease: GrantedLease) {
         self.raise_in_force(lease.in_force_revision);
         match lease.content {
-            LeaseContent::Commands { commands, through } => self.take_commands_of_lease(commands, through),
-            // The driver has fetched it, and gives what came.
+            LeaseContent::Commands { commands, through } => self.apply_lease_commands(commands, through),
+            // The driver fetches the snapshot and passes it in another input.
             LeaseContent::Fetch { .. } => {}
             LeaseContent::Snapshot(bytes) => match decompress(&bytes) {
                 Ok(state) => self.restore(&state),
-                Err(error) => self.record_own("SnapshotRefused", error.message(), error.code()),
+                Err(error) => self.record_event("SnapshotRefused", error.message(), error.code()),
             },
         }
     }
 
-    /// A command that can't be read stops the daemon at the revision before it: it asks for the rest again.
-    fn take_commands_of_lease(&mut self, commands: Vec<RevisedCommand>, through: u64) {
+    /// An unreadable command stops the daemon at the revision before it; the daemon then requests the rest
+    /// again.
+    fn apply_lease_commands(&mut self, commands: Vec<RevisedCommand>, through: u64) {
         for RevisedCommand { revision, command } in commands {
             match decompress(&command).and_then(|bytes| decode_command(&bytes)) {
                 Ok(decoded) => {
                     if let Some(applied) = self.board.apply_at(revision, &decoded, command) {
-                        self.note_applied(&decoded, &applied);
+                        self.publish_applied(&decoded, &applied);
                     }
                 }
                 Err(error) => {
-                    self.record_own("CommandRefused", error.message(), error.code());
+                    self.record_event("CommandRefused", error.message(), error.code());
                     return;
                 }
             }
@@ -48,12 +50,12 @@
         }
     }
 
-    /// Whether it may be looked again at what is in force everywhere, which takes a look at all daemons' leases.
+    /// Whether the in-force revision should be determined again now, which scans the leases of all daemons.
     pub(crate) fn claim_in_force_check(&mut self, now: Millis) -> bool {
-        let is_due = self.in_force_revision < self.board.revision() && now >= self.in_force_at;
+        let is_due = self.in_force_revision < self.board.revision() && now >= self.next_in_force_check_at;
         if is_due {
-            let further = self.board.tables().daemons.len().saturating_sub(LOOKED_AT_EACH_TURN);
-            self.in_force_at = now + (further / LOOKED_AT_PER_MS) as Millis;
+            let additional = self.board.tables().daemons.len().saturating_sub(LEASES_SCANNED_EACH_TURN);
+            self.next_in_force_check_at = now + (additional / LEASES_SCANNED_PER_MS) as Millis;
         }
         is_due
     }
@@ -72,7 +74,7 @@
                 self.dirty = true;
             }
             Ok(false) => {}
-            Err(error) => self.record_own("SnapshotRefused", error.message(), error.code()),
+            Err(error) => self.record_event("SnapshotRefused", error.message(), error.code()),
         }
     }
 }
--- a/crates/control/src/account.rs
+++ b/crates/control/src/timeline.rs
@@ -1,5 +1,5 @@
-//! Turns applied commands into events of the time line. Every voter records the same ones, so that they
-//! survive the leader; the command-line tool shows each once.
+//! Converts applied commands into timeline events. Every voter records the same events, so that they survive
+//! the loss of the leader; the command-line tool deduplicates them.
 
 use dockwood_api::ResultCode;
 use dockwood_api::event::Subject;
@@ -12,27 +12,27 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Daemons that may change at once with an event for each.
-const RECORDED_SINGLY: usize = 16;
-/// Names in an event on many daemons.
-const NAMED_AT_MOST: usize = 64;
+/// Up to this many daemon updates in one command are recorded as individual events.
+const MAX_INDIVIDUAL_EVENTS: usize = 16;
+/// Maximum number of daemon names listed in a summary event.
+const MAX_LISTED_NAMES: usize = 64;
 
-/// An event about to be recorded.
+/// A timeline event to be recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Account {
-    /// What it is about.
+pub struct TimelineEvent {
+    /// The object that the event is about.
     pub subject: Subject,
-    /// A short fixed word.
+    /// A fixed CamelCase reason code.
     pub reason: String,
-    /// Details.
+    /// Human-readable details.
     pub message: String,
-    /// The result.
+    /// Result code.
     pub code: ResultCode,
 }
 
-impl Account {
+impl TimelineEvent {
     fn new(subject: Subject, reason: &str, message: impl Into<String>, code: ResultCode) -> Self {
-        Account { subject, reason: reason.to_string(), message: message.into(), code }
+        TimelineEvent { subject, reason: reason.to_string(), message: message.into(), code }
     }
 }
 
@@ -40,159 +40,162 @@
     Subject::new(&key.kind.name().to_lowercase(), key.name.clone())
 }
 
-/// The events of a command, given the tables after it.
-pub fn accounts(command: &Command, applied: &Applied, tables: &Tables) -> Vec<Account> {
-    let code = code_of(&applied.outcome);
-    // A trial that isn't granted is no fault; the daemon that asked records it.
+/// Returns the events of a command; `tables` are the tables after it was applied.
+pub fn timeline_events(command: &Command, applied: &Applied, tables: &Tables) -> Vec<TimelineEvent> {
+    let code = outcome_code(&applied.outcome);
+    // A denied trial is not an error; the daemon that requested it records the event.
     if matches!(command.body, CommandBody::Gateway(GatewayCommand::BeginTrial(_))) {
         return Vec::new();
     }
     if let Outcome::Refused(error) = &applied.outcome
         && !matches!(command.body, CommandBody::Change(_))
     {
-        return vec![refused(command, error.code(), error.message())];
+        return vec![refused_event(command, error.code(), error.message())];
     }
     match &command.body {
-        CommandBody::Change(request) => change(request, applied, code).into_iter().collect(),
+        CommandBody::Change(request) => change_event(request, applied, code).into_iter().collect(),
         CommandBody::JoinDaemon { record, incarnation } => {
             let message = format!("zone {}, incarnation {incarnation}", record.zone);
-            vec![Account::new(Subject::new("daemon", &record.name), "Joined", message, code)]
+            vec![TimelineEvent::new(Subject::new("daemon", &record.name), "Joined", message, code)]
         }
         CommandBody::SetLiveness { daemon, liveness, .. } => {
-            vec![Account::new(Subject::new("daemon", daemon), &format!("{liveness:?}"), "", code)]
+            vec![TimelineEvent::new(Subject::new("daemon", daemon), &format!("{liveness:?}"), "", code)]
         }
-        CommandBody::UpdateDaemons(updates) => daemon_accounts(updates),
-        CommandBody::FormReplica { reason, .. } => replica_accounts("Formed", reason, applied, tables),
-        CommandBody::ReformReplica { reason, .. } => replica_accounts("Reformed", reason, applied, tables),
+        CommandBody::UpdateDaemons(updates) => daemon_events(updates),
+        CommandBody::FormReplica { reason, .. } => replica_events("Formed", reason, applied, tables),
+        CommandBody::ReformReplica { reason, .. } => replica_events("Reformed", reason, applied, tables),
         CommandBody::DrainReplica { replica, reason, .. } => {
-            vec![Account::new(Subject::new("replica", replica), "Draining", reason, code)]
+            vec![TimelineEvent::new(Subject::new("replica", replica), "Draining", reason, code)]
         }
         CommandBody::DissolveReplica { replica, reason, .. } => {
-            vec![Account::new(Subject::new("replica", replica), "Dissolved", reason, code)]
+            vec![TimelineEvent::new(Subject::new("replica", replica), "Dissolved", reason, code)]
         }
-        CommandBody::OrderDone { .. } | CommandBody::RepeatOrder { .. } => phase_accounts(applied, tables),
+        CommandBody::OrderDone { .. } | CommandBody::RepeatOrder { .. } => phase_events(applied, tables),
         CommandBody::AssignPool { pool, coordinator, standby } => {
-            let named = |daemon: &Option<String>| daemon.clone().unwrap_or_else(|| "nobody".to_string());
-            let message = format!("coordinator {}, standby {}", named(coordinator), named(standby));
-            vec![Account::new(Subject::new("deployment", pool), "CoordinatorAssigned", message, code)]
+            let name_or_nobody =
+                |daemon: &Option<String>| daemon.clone().unwrap_or_else(|| "nobody".to_string());
+            let message =
+                format!("coordinator {}, standby {}", name_or_nobody(coordinator), name_or_nobody(standby));
+            vec![TimelineEvent::new(Subject::new("deployment", pool), "CoordinatorAssigned", message, code)]
         }
         CommandBody::AssignWatcher { replica, watcher } => {
             let message = format!("watcher {}", watcher.as_deref().unwrap_or("nobody"));
-            vec![Account::new(Subject::new("replica", replica), "WatcherAssigned", message, code)]
+            vec![TimelineEvent::new(Subject::new("replica", replica), "WatcherAssigned", message, code)]
         }
         CommandBody::Gateway(command) => {
-            let mut told: Vec<Account> = gateway_account(command, tables).into_iter().collect();
+            let mut events: Vec<TimelineEvent> = gateway_event(command, tables).into_iter().collect();
             if let GatewayCommand::ServerEnded(end) = command {
-                told.extend(quarantines(end, tables));
+                events.extend(quarantine_events(end, tables));
             }
-            told
+            events
         }
         CommandBody::Claim(_) | CommandBody::SettleClaims(_) => Vec::new(),
     }
 }
 
-/// One event for each daemon; where many change at once, one for each kind of change, which names some of them.
-fn daemon_accounts(updates: &[DaemonUpdate]) -> Vec<Account> {
-    if updates.len() <= RECORDED_SINGLY {
-        return updates.iter().map(daemon_account).collect();
+/// Returns one event per daemon update, or above [`MAX_INDIVIDUAL_EVENTS`] one summary event per reason,
+/// which lists some of the daemons.
+fn daemon_events(updates: &[DaemonUpdate]) -> Vec<TimelineEvent> {
+    if updates.len() <= MAX_INDIVIDUAL_EVENTS {
+        return updates.iter().map(daemon_event).collect();
     }
     let mut by_reason: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for update in updates {
-        let Account { subject, reason, .. } = daemon_account(update);
+        let TimelineEvent { subject, reason, .. } = daemon_event(update);
         by_reason.entry(reason).or_default().push(subject.name);
     }
-    let account = |(reason, names): (String, Vec<String>)| {
-        let named = names[..names.len().min(NAMED_AT_MOST)].join(" ");
-        let message = format!("{} daemons: {named}", names.len());
-        Account::new(Subject::new("control", "daemons"), &reason, message, ResultCode::Ok)
+    let event = |(reason, names): (String, Vec<String>)| {
+        let listed = names[..names.len().min(MAX_LISTED_NAMES)].join(" ");
+        let message = format!("{} daemons: {listed}", names.len());
+        TimelineEvent::new(Subject::new("control", "daemons"), &reason, message, ResultCode::Ok)
     };
-    by_reason.into_iter().map(account).collect()
+    by_reason.into_iter().map(event).collect()
 }
 
-fn daemon_account(update: &DaemonUpdate) -> Account {
+fn daemon_event(update: &DaemonUpdate) -> TimelineEvent {
     match update {
         DaemonUpdate::Joined { record, incarnation } => {
             let message = format!("zone {}, incarnation {incarnation}", record.zone);
-            Account::new(Subject::new("daemon", &record.name), "Joined", message, ResultCode::Ok)
+            TimelineEvent::new(Subject::new("daemon", &record.name), "Joined", message, ResultCode::Ok)
         }
         DaemonUpdate::Liveness { daemon, liveness, .. } => {
-            Account::new(Subject::new("daemon", daemon), &format!("{liveness:?}"), "", ResultCode::Ok)
+            TimelineEvent::new(Subject::new("daemon", daemon), &format!("{liveness:?}"), "", ResultCode::Ok)
         }
     }
 }
 
-/// The event of a change of the gateway's tables.
-fn gateway_account(command: &GatewayCommand, tables: &Tables) -> Option<Account> {
-    let account = |kind: &str, name: &str, reason: &str, message: String| {
-        Some(Account::new(Subject::new(kind, name), reason, message, ResultCode::Ok))
+/// Returns the event of a change to the gateway tables.
+fn gateway_event(command: &GatewayCommand, tables: &Tables) -> Option<TimelineEvent> {
+    let event = |kind: &str, name: &str, reason: &str, message: String| {
+        Some(TimelineEvent::new(Subject::new(kind, name), reason, message, ResultCode::Ok))
     };
     match command {
         GatewayCommand::Configure(configuration) => {
             let version = configuration.version;
             let held = tables.gateway.configuration.as_ref().map_or(0, |held| held.version);
             let reason = if held == version { "Configured" } else { "ConfigurationOvertaken" };
-            account("gateway", "configuration", reason, format!("version {version}, held {held}"))
+            event("gateway", "configuration", reason, format!("version {version}, held {held}"))
         }
         GatewayCommand::Register(row) => {
             let leaving = row.state == InstanceState::Draining;
-            let left = if leaving { group_left(tables, &row.id) } else { String::new() };
+            let left = if leaving { group_suffix(tables, &row.id) } else { String::new() };
             let message = format!("{} at {}, {:?}{left}", row.service, row.address, row.state);
-            account("instance", &row.id, "Registered", message)
+            event("instance", &row.id, "Registered", message)
         }
-        GatewayCommand::SignOff { id } => account("instance", id, "SignedOff", group_left(tables, id)),
-        GatewayCommand::Remove { id } => account("instance", id, "Removed", String::new()),
+        GatewayCommand::SignOff { id } => event("instance", id, "SignedOff", group_suffix(tables, id)),
+        GatewayCommand::Remove { id } => event("instance", id, "Removed", String::new()),
         GatewayCommand::Form { model, members, reason, .. } => {
             let name = format!("g{}", tables.gateway.last_epoch);
-            account("group", &name, "Formed", format!("{model} on {}; {reason}", members.join(" ")))
+            event("group", &name, "Formed", format!("{model} on {}; {reason}", members.join(" ")))
         }
         GatewayCommand::SetPhase { epoch, phase, reason } => {
-            account("group", &format!("g{epoch}"), &format!("{phase:?}"), reason.clone())
+            event("group", &format!("g{epoch}"), &format!("{phase:?}"), reason.clone())
         }
         GatewayCommand::Release { epoch, member } => {
-            account("group", &format!("g{epoch}"), "Released", member.clone())
+            event("group", &format!("g{epoch}"), "Released", member.clone())
         }
         GatewayCommand::End { epoch, reason } => {
-            account("group", &format!("g{epoch}"), "Ended", reason.clone())
+            event("group", &format!("g{epoch}"), "Ended", reason.clone())
         }
         GatewayCommand::Preloaded { epoch } => {
-            account("group", &format!("g{epoch}"), "Preloaded", "all members are ready".to_string())
+            event("group", &format!("g{epoch}"), "Preloaded", "all members are ready".to_string())
         }
         GatewayCommand::SetEvacuation { zone, .. } => {
             let evacuated = tables.gateway.is_evacuated(zone);
             let reason = if evacuated { "Evacuated" } else { "EvacuationEnded" };
             let generation = tables.gateway.evacuation_generation(zone);
-            account("zone", zone, reason, format!("generation {generation}"))
+            event("zone", zone, reason, format!("generation {generation}"))
         }
-        GatewayCommand::NoteRequests => account("gateway", "requests", "RequestsSeen", String::new()),
+        GatewayCommand::NoteRequests => event("gateway", "requests", "RequestsSeen", String::new()),
         GatewayCommand::ServerEnded(end) => {
-            account("instance", &end.instance, "EndedUnderRequests", told(end))
+            event("instance", &end.instance, "EndedUnderRequests", server_end_message(end))
         }
         GatewayCommand::ClearRequest { fingerprint, reason } => {
-            account("request", &fingerprint.to_string(), "Cleared", reason.clone())
+            event("request", &fingerprint.to_string(), "Cleared", reason.clone())
         }
-        // Recorded at the voters, as the change of phase that led to it.
+        // The voters already record the phase change that led to it.
         GatewayCommand::Adopt(_) => None,
-        // Trials are recorded by the daemons that ask for them.
+        // Trials are recorded by the daemons that request them.
         GatewayCommand::BeginTrial(_)
         | GatewayCommand::EndTrial { .. }
         | GatewayCommand::ExpireSuspicions { .. } => None,
     }
 }
 
-/// The requests that a server had when it ended.
-fn told(end: &ServerEnd) -> String {
+/// Describes the requests that a server was running when it ended.
+fn server_end_message(end: &ServerEnd) -> String {
     let tries: Vec<String> =
         end.tries.iter().map(|tried| format!("{} as {}", tried.fingerprint, tried.request)).collect();
     format!("in zone {}, told by {}; suspects: {}", end.zone, end.daemon, tries.join(", "))
 }
 
-/// Requests that came under quarantine by the end of a server.
-fn quarantines(end: &ServerEnd, tables: &Tables) -> Vec<Account> {
-    let held =
+/// Returns an event for each request that this server end put under quarantine.
+fn quarantine_events(end: &ServerEnd, tables: &Tables) -> Vec<TimelineEvent> {
+    let quarantined =
         end.tries.iter().filter_map(|tried| tables.gateway.suspicion.quarantined.get(&tried.fingerprint));
-    let new = held.filter(|row| row.since_ms == end.at_ms);
-    let account = |row: &Arc<QuarantineRow>| {
-        let servers: Vec<String> = row.evidence.iter().map(servers_end).collect();
+    let new = quarantined.filter(|row| row.since_ms == end.at_ms);
+    let event = |row: &Arc<QuarantineRow>| {
+        let servers: Vec<String> = row.evidence.iter().map(evidence_text).collect();
         let message = format!(
             "tenant {}, route {}, for {} s, {} times; ended under it: {}",
             row.tenant.as_deref().unwrap_or("none"),
@@ -202,18 +205,18 @@
             servers.join(", ")
         );
         let subject = Subject::new("request", row.fingerprint.to_string());
-        Account::new(subject, "Quarantined", message, ResultCode::RequestQuarantined)
+        TimelineEvent::new(subject, "Quarantined", message, ResultCode::RequestQuarantined)
     };
-    new.map(account).collect()
+    new.map(event).collect()
 }
 
-fn servers_end(evidence: &Evidence) -> String {
+fn evidence_text(evidence: &Evidence) -> String {
     let Evidence { instance, zone, at_ms, request, daemon } = evidence;
     format!("{instance} in {zone} at {at_ms} with {request}, told by {daemon}")
 }
 
-/// The group that an instance leaves, as a message ends with it.
-fn group_left(tables: &Tables, instance: &str) -> String {
+/// Message suffix that names the group that a leaving instance belongs to; empty if there is none.
+fn group_suffix(tables: &Tables, instance: &str) -> String {
     let group = tables.gateway.group_of(instance);
     group.map_or_else(String::new, |group| {
         let role = if group.is_headed_by(instance) { "head" } else { "member" };
@@ -221,7 +224,7 @@
     })
 }
 
-fn refused(command: &Command, code: ResultCode, message: &str) -> Account {
+fn refused_event(command: &Command, code: ResultCode, message: &str) -> TimelineEvent {
     let subject = match &command.body {
         CommandBody::JoinDaemon { record, .. } => Subject::new("daemon", &record.name),
         CommandBody::SetLiveness { daemon, .. } => Subject::new("daemon", daemon),
@@ -236,10 +239,10 @@
         CommandBody::AssignPool { pool, .. } => Subject::new("deployment", pool),
         _ => Subject::new("control", "log"),
     };
-    Account::new(subject, "Refused", message, code)
+    TimelineEvent::new(subject, "Refused", message, code)
 }
 
-fn code_of(outcome: &Outcome) -> ResultCode {
+fn outcome_code(outcome: &Outcome) -> ResultCode {
     match outcome {
         Outcome::Refused(error) => error.code(),
         Outcome::Conflict(_) => ResultCode::Conflict,
@@ -249,7 +252,7 @@
     }
 }
 
-fn change(request: &ChangeRequest, applied: &Applied, code: ResultCode) -> Option<Account> {
+fn change_event(request: &ChangeRequest, applied: &Applied, code: ResultCode) -> Option<TimelineEvent> {
     let (reason, key) = match &request.action {
         ChangeAction::Create(resource) => ("Created", resource.key()),
         ChangeAction::Update(resource) => ("Updated", resource.key()),
@@ -263,25 +266,25 @@
         _ => format!("change id {}", request.change_id),
     };
     let reason = if code == ResultCode::Accepted { reason } else { "ChangeNotMade" };
-    Some(Account::new(subject_of(&key), reason, message, code))
+    Some(TimelineEvent::new(subject_of(&key), reason, message, code))
 }
 
 fn touched_replicas(applied: &Applied) -> impl Iterator<Item = &ResourceKey> {
     applied.touched.iter().filter(|key| key.kind == Kind::Replica)
 }
 
-fn replica_accounts(reason: &str, why: &str, applied: &Applied, tables: &Tables) -> Vec<Account> {
+fn replica_events(reason: &str, cause: &str, applied: &Applied, tables: &Tables) -> Vec<TimelineEvent> {
     touched_replicas(applied)
         .map(|key| {
             let members = tables.replicas.get(&key.name).map(|row| (row.epoch, row.members.join(" ")));
             let (epoch, members) = members.unwrap_or_default();
-            let message = format!("{why}; epoch {epoch}, members {members}");
-            Account::new(subject_of(key), reason, message, ResultCode::Ok)
+            let message = format!("{cause}; epoch {epoch}, members {members}");
+            TimelineEvent::new(subject_of(key), reason, message, ResultCode::Ok)
         })
         .collect()
 }
 
-fn phase_accounts(applied: &Applied, tables: &Tables) -> Vec<Account> {
+fn phase_events(applied: &Applied, tables: &Tables) -> Vec<TimelineEvent> {
     touched_replicas(applied)
         .filter_map(|key| {
             let row = tables.replicas.get(&key.name)?;
@@ -292,7 +295,7 @@
                 ReplicaPhase::Loading => ("Loading", row.reason.clone()),
                 ReplicaPhase::Draining => return None,
             };
-            Some(Account::new(subject_of(key), reason, message, ResultCode::Ok))
+            Some(TimelineEvent::new(subject_of(key), reason, message, ResultCode::Ok))
         })
         .collect()
 }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,41 +1,41 @@
-//! The leader's view of the fleet, as JSON for status.
+//! The leader's view of the fleet as JSON, for status queries.
 
 use crate::Millis;
 use crate::blackboard::Blackboard;
 use crate::leases::LeaseTable;
-use crate::voter_zones::VoterShown;
+use crate::voter_zones::VoterStatus;
 use dockwood_placement::{MachineHealth, PlacementPolicy, shortfalls};
 use dockwood_state::{Liveness, ReplicaPhase};
 use serde_json::{Value, json};
 
-/// What a view begins with.
+/// Header fields of a view.
 #[derive(Clone, Copy, Debug)]
-pub struct ViewHead<'a> {
+pub struct ViewHeader<'a> {
     /// The leader's name.
     pub leader: &'a str,
     /// Its term.
     pub term: u64,
     /// Newest revision in force everywhere.
     pub in_force_revision: u64,
-    /// The control group.
-    pub voters: &'a [VoterShown],
+    /// The voters of the control group.
+    pub voters: &'a [VoterStatus],
 }
 
-/// Everything that one screen of status needs.
+/// Returns the JSON document with all data of the status screen.
 pub fn control_view<R>(
     board: &Blackboard,
     leases: &LeaseTable<R>,
-    head: ViewHead<'_>,
+    header: ViewHeader<'_>,
     now: Millis,
 ) -> Vec<u8> {
-    let ViewHead { leader, term, in_force_revision, voters } = head;
+    let ViewHeader { leader, term, in_force_revision, voters } = header;
     let fleet = board.fleet(now, PlacementPolicy::default());
     let tables = board.tables();
     let replicas: Vec<Value> = tables
         .replicas
         .values()
         .map(|row| {
-            let unwell: Vec<String> = row
+            let unhealthy: Vec<String> = row
                 .members
                 .iter()
                 .filter(|server| {
@@ -46,7 +46,7 @@
             json!({
                 "name": row.name, "deployment": row.deployment, "phase": format!("{:?}", row.phase),
                 "epoch": row.epoch, "domain": row.domain, "version": row.version, "reason": row.reason,
-                "unwellMachines": unwell, "serving": row.phase == ReplicaPhase::Serving && unwell.is_empty(),
+                "unwellMachines": unhealthy, "serving": row.phase == ReplicaPhase::Serving && unhealthy.is_empty(),
             })
         })
         .collect();
@@ -54,14 +54,14 @@
         .servers()
         .map(|(name, _)| name)
         .filter(|name| {
-            let in_serving = tables
+            let is_serving = tables
                 .machines
                 .get(*name)
                 .and_then(|machine| machine.holder.as_ref())
                 .is_some_and(|holder| {
                     tables.replicas.get(&holder.replica).is_some_and(|row| row.phase == ReplicaPhase::Serving)
                 });
-            !in_serving && !matches!(fleet.health(name), MachineHealth::Dead | MachineHealth::Unknown)
+            !is_serving && !matches!(fleet.health(name), MachineHealth::Dead | MachineHealth::Unknown)
         })
         .collect();
     let daemons: Vec<Value> = tables
@@ -77,9 +77,9 @@
             })
         })
         .collect();
-    let missing: Vec<Value> = shortfalls(&fleet)
+    let shortages: Vec<Value> = shortfalls(&fleet)
         .into_iter()
-        .map(|one| json!({ "deployment": one.deployment, "missing": one.missing, "why": one.message }))
+        .map(|shortfall| json!({ "deployment": shortfall.deployment, "missing": shortfall.missing, "why": shortfall.message }))
         .collect();
     let voters: Vec<Value> = voters
         .iter()
@@ -88,8 +88,8 @@
     let view = json!({
         "voters": voters,
         "leader": leader, "term": term, "revision": tables.revision, "inForceRevision": in_force_revision,
-        "behind": leases.behind(now, tables.revision), "claims": board.state.claims.len(),
-        "replicas": replicas, "shortfalls": missing, "strandedMachines": stranded, "daemons": daemons,
+        "behind": leases.lagging(now, tables.revision), "claims": board.state.claims.len(),
+        "replicas": replicas, "shortfalls": shortages, "strandedMachines": stranded, "daemons": daemons,
         "evacuatedZones": tables.gateway.evacuated_zones().collect::<Vec<&str>>(),
     });
     serde_json::to_vec(&view).unwrap_or_default()
--- a/crates/control/src/leading.rs
+++ b/crates/control/src/voter_turn.rs
@@ -1,7 +1,7 @@
-//! What a voter does after each input: proposes, runs the leader's controllers, answers held leases, and keeps
-//! its log short.
+//! What a voter does after each input: proposes commands, runs the leader's controllers, and compacts its
+//! log.
 
-use crate::admission::Group;
+use crate::admission::VoterGroup;
 use crate::driver_io::{Moment, Output, StoredSnapshot};
 use crate::node::{Batch, ControlNode};
 use crate::voter::{Proposal, Waiter};
@@ -30,7 +30,7 @@
         for (index, waiter) in (first..).zip(batch.waiters) {
             voter.proposals.insert(index, Proposal { term, waiter });
         }
-        self.drive(now, consensus::Input::Propose(batch.commands));
+        self.step_core(now, consensus::Input::Propose(batch.commands));
     }
 
     pub(crate) fn supply_snapshot(&mut self, now: Moment, to: u64) {
@@ -38,7 +38,7 @@
         let index = voter.applied_index;
         let Some(term) = voter.core.term_at(index) else { return };
         let data = self.board.state.encode();
-        self.drive(now, consensus::Input::SnapshotLoaded { to, index, term, data });
+        self.step_core(now, consensus::Input::SnapshotLoaded { to, index, term, data });
     }
 
     pub(crate) fn run_controllers(&mut self, now: Moment) {
@@ -47,18 +47,18 @@
         if !voter.leads(now.monotonic) || !voter.applied_own_term() {
             return;
         }
-        let Some(leadership) = &mut voter.leadership else { return };
-        self.board.forget_gone();
+        let Some(leader_state) = &mut voter.leader_state else { return };
+        self.board.drop_stale_observations();
         let gateway_tables = &self.board.state.tables.gateway;
-        let group_orders = leadership.gateway.orders_to_send(
+        let group_orders = leader_state.gateway.orders_to_send(
             now.monotonic,
             gateway_tables,
             self.options.grouping,
-            leadership.term,
+            leader_state.term,
         );
-        let probes = leadership.gateway.probes(now.monotonic, gateway_tables);
-        let orders = leadership.orders_to_send(now.monotonic, &self.board);
-        let commands = leadership.decide(now, &self.board, &self.options);
+        let probes = leader_state.gateway.probes(now.monotonic, gateway_tables);
+        let orders = leader_state.orders_to_send(now.monotonic, &self.board);
+        let commands = leader_state.decide(now, &self.board, &self.options);
         self.outputs.extend(orders.into_iter().map(|order| Output::SendOrder(Box::new(order))));
         let group_orders = group_orders.into_iter().map(|order| Output::SendGroupOrder(Box::new(order)));
         self.outputs.extend(group_orders);
@@ -68,22 +68,23 @@
         self.propose(now, batch);
         self.change_voters(now);
         self.announce_leader(now);
-        self.watch_zones(now);
+        self.report_zone_balance(now);
     }
 
-    /// Calls daemons that have not found this leader.
+    /// Announces this leader to daemons that have not found it.
     fn announce_leader(&mut self, now: Moment) {
-        let Some(leadership) = self.voter.as_mut().and_then(|voter| voter.leadership.as_mut()) else {
+        let Some(leader_state) = self.voter.as_mut().and_then(|voter| voter.leader_state.as_mut()) else {
             return;
         };
         let tables = &self.board.state.tables;
-        let to = leadership.announcements.due(now.monotonic, &self.name, tables, &leadership.answers.leases);
+        let to =
+            leader_state.announcements.due(now.monotonic, &self.name, tables, &leader_state.responder.leases);
         if !to.is_empty() {
-            self.outputs.push(Output::AnnounceLeader { to, term: leadership.term });
+            self.outputs.push(Output::AnnounceLeader { to, term: leader_state.term });
         }
     }
 
-    /// Admits or removes a voter, one at a time.
+    /// Adds or removes a voter, one at a time.
     fn change_voters(&mut self, now: Moment) {
         if !self.voter.as_ref().is_some_and(|voter| voter.core.voters_settled()) {
             return;
@@ -92,7 +93,7 @@
         let zones = if bears_zone_loss { self.voter_zones() } else { ZonesById::new() };
         let Some(voter) = &mut self.voter else { return };
         let (voters, silent_for) = (voter.known_voters(), voter.core.silent_for(now.monotonic));
-        let group = Group {
+        let group = VoterGroup {
             own_id: voter.core.id(),
             voters: &voters,
             silent_for: &silent_for,
@@ -100,10 +101,10 @@
             zones: &zones,
             bears_zone_loss,
         };
-        let Some(leadership) = &mut voter.leadership else { return };
-        let next = leadership.candidates.next_voters(now.monotonic, &group);
+        let Some(leader_state) = &mut voter.leader_state else { return };
+        let next = leader_state.candidates.next_voters(now.monotonic, &group);
         if let Some(next) = next {
-            self.drive(now, consensus::Input::ChangeVoters(next));
+            self.step_core(now, consensus::Input::ChangeVoters(next));
         }
     }
 
@@ -111,10 +112,10 @@
         if !self.leads(now) || !self.claim_in_force_check(now.monotonic) {
             return;
         }
-        let leadership = self.leadership();
-        let known = leadership
-            .and_then(|leader| leader.answers.leases.in_force_revision(now.monotonic, self.board.tables()));
-        if let Some(revision) = known {
+        let leader_state = self.leader_state();
+        let revision = leader_state
+            .and_then(|leader| leader.responder.leases.in_force_revision(now.monotonic, self.board.tables()));
+        if let Some(revision) = revision {
             self.raise_in_force(revision);
         }
     }
--- a/crates/control/src/zone_balance.rs
+++ b/crates/control/src/zone_balance.rs
@@ -1,27 +1,29 @@
-//! How the voters are spread over zones, and whether a majority outlives the loss of any one zone.
+//! How the voters are distributed over zones, and whether a majority survives the loss of any one zone.
 //!
-//! A voter whose zone is unknown is counted in every zone: a group is never taken for safer than it may be.
+//! A voter whose zone is unknown is counted in every zone, so that the safety of a group is never
+//! overestimated.
 
 use dockwood_consensus::{NodeId, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// With fewer zones one of them always holds half of the voters: then the rule can't be kept, and is not applied.
-const LEAST_ZONES: usize = 3;
+/// With fewer zones, one of them always holds half of the voters: then the rule can't be met and is not
+/// applied.
+const MIN_ZONES: usize = 3;
 
-/// The zones of voters and candidates, by their ids.
+/// Zones of voters and candidates by id.
 pub type ZonesById = BTreeMap<NodeId, String>;
 
-/// Voters by zone.
+/// Number of voters by zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneCounts {
-    /// Voters of each known zone.
+    /// Voters per known zone.
     pub by_zone: BTreeMap<String, usize>,
     /// Voters whose zone is unknown.
     pub unknown: usize,
 }
 
 impl ZoneCounts {
-    /// Counts voters.
+    /// Counts the voters by zone.
     pub fn of<'a>(voters: impl IntoIterator<Item = &'a Voter>, zones: &ZonesById) -> ZoneCounts {
         let mut counts = ZoneCounts { by_zone: BTreeMap::new(), unknown: 0 };
         for voter in voters {
@@ -33,30 +35,31 @@
         counts
     }
 
-    /// Voters of a zone, by what is known.
+    /// Number of voters known to be in a zone.
     pub fn in_zone(&self, zone: &str) -> usize {
         self.by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// All voters.
+    /// Total number of voters.
     pub fn total(&self) -> usize {
         self.by_zone.values().sum::<usize>() + self.unknown
     }
 
-    /// Whether a majority remains whichever zone is lost.
+    /// Whether a majority remains after the loss of any one zone.
     pub fn is_balanced(&self) -> bool {
         let fullest = self.by_zone.values().max().copied().unwrap_or(0);
         2 * (fullest + self.unknown) < self.total()
     }
 
-    /// The zone that surely holds half of the voters or more; the fullest, if two do.
-    pub fn too_full(&self) -> Option<(&str, usize)> {
+    /// The zone that holds half of all voters or more, counting unknown zones as others, with its number of voters; the
+    /// fullest if there are two.
+    pub fn overfull_zone(&self) -> Option<(&str, usize)> {
         let fullest = self.by_zone.iter().max_by_key(|(_, count)| **count)?;
         (2 * fullest.1 >= self.total()).then_some((fullest.0.as_str(), *fullest.1))
     }
 }
 
-/// Whether the rule can be kept by the voters and candidates of these zones.
+/// Whether there are enough zones among these voters and candidates to apply the rule.
 pub fn has_enough_zones(zones: &ZonesById) -> bool {
-    zones.values().collect::<BTreeSet<_>>().len() >= LEAST_ZONES
+    zones.values().collect::<BTreeSet<_>>().len() >= MIN_ZONES
 }
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -1,25 +1,25 @@
-//! Who becomes a voter, and who makes room.
+//! Selection of the next set of voters.
 
 use dockwood_consensus::Voter;
-use dockwood_control::{Candidates, Group, voters_to_lose};
+use dockwood_control::{Candidates, VoterGroup, voters_to_lose};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 fn voter(id: u64) -> Voter {
-    at(id, id as u16)
+    voter_at(id, id as u16)
 }
 
-fn at(id: u64, place: u16) -> Voter {
-    Voter { id, address: SocketAddr::from(([127, 0, 0, 1], 1_000 + place)) }
+fn voter_at(id: u64, port_offset: u16) -> Voter {
+    Voter { id, address: SocketAddr::from(([127, 0, 0, 1], 1_000 + port_offset)) }
 }
 
-/// What the leader, voter 1, would do next in a group that may lose one member.
+/// The next voter ids chosen by the leader, voter 1, of a group that has to tolerate the loss of one member.
 fn next(candidates: &mut Candidates, voters: &[Voter], silent: &[(u64, u64)]) -> Option<Vec<u64>> {
-    next_to_lose(1, candidates, voters, silent)
+    next_for_losses(1, candidates, voters, silent)
 }
 
-/// The same in a group that may lose so many members at once.
-fn next_to_lose(
+/// The same for a group that has to tolerate `losses` members lost at once.
+fn next_for_losses(
     losses: usize,
     candidates: &mut Candidates,
     voters: &[Voter],
@@ -30,7 +30,7 @@
     silent_for.extend(silent.iter().copied());
     let usual_voters = voters_to_lose(losses);
     let zones = BTreeMap::new();
-    let group = Group {
+    let group = VoterGroup {
         own_id: 1,
         voters,
         silent_for: &silent_for,
@@ -42,63 +42,63 @@
     Some(next.iter().map(|voter| voter.id).collect())
 }
 
-fn asking(voters: &[Voter]) -> Candidates {
+fn candidates_from(voters: &[Voter]) -> Candidates {
     let mut candidates = Candidates::default();
-    voters.iter().for_each(|voter| candidates.ask(900, voter.id, voter.address, "z"));
+    voters.iter().for_each(|voter| candidates.add_request(900, voter.id, voter.address, "z"));
     candidates
 }
 
-const THREE: fn() -> Vec<Voter> = || vec![voter(1), voter(2), voter(3)];
+const THREE_VOTERS: fn() -> Vec<Voter> = || vec![voter(1), voter(2), voter(3)];
 
 #[test]
-fn nobody_asks_and_nothing_changes() {
-    assert_eq!(next(&mut Candidates::default(), &THREE(), &[(3, 60_000)]), None);
+fn no_request_changes_nothing() {
+    assert_eq!(next(&mut Candidates::default(), &THREE_VOTERS(), &[(3, 60_000)]), None);
 }
 
 #[test]
 fn a_voter_that_asks_again_changes_nothing() {
-    assert_eq!(next(&mut asking(&[voter(2)]), &THREE(), &[]), None);
+    assert_eq!(next(&mut candidates_from(&[voter(2)]), &THREE_VOTERS(), &[]), None);
 }
 
 #[test]
-fn a_member_that_lost_its_disk_replaces_its_predecessor_which_goes_first() {
-    let mut candidates = asking(&[at(9, 3)]);
-    assert_eq!(next(&mut candidates, &THREE(), &[]), Some(vec![1, 2]));
+fn a_member_that_lost_its_disk_replaces_its_predecessor_which_is_removed_first() {
+    let mut candidates = candidates_from(&[voter_at(9, 3)]);
+    assert_eq!(next(&mut candidates, &THREE_VOTERS(), &[]), Some(vec![1, 2]));
     assert_eq!(next(&mut candidates, &[voter(1), voter(2)], &[]), Some(vec![1, 2, 9]));
 }
 
 #[test]
-fn a_newcomer_at_another_address_takes_the_place_of_a_silent_voter() {
-    let mut candidates = asking(&[voter(9)]);
-    assert_eq!(next(&mut candidates, &THREE(), &[(2, 5_000)]), Some(vec![1, 3]));
+fn a_candidate_at_another_address_replaces_a_silent_voter() {
+    let mut candidates = candidates_from(&[voter(9)]);
+    assert_eq!(next(&mut candidates, &THREE_VOTERS(), &[(2, 5_000)]), Some(vec![1, 3]));
 }
 
 #[test]
-fn a_newcomer_beside_sound_voters_is_added() {
-    assert_eq!(next(&mut asking(&[voter(9)]), &THREE(), &[]), Some(vec![1, 2, 3, 9]));
+fn a_candidate_is_added_to_healthy_voters() {
+    assert_eq!(next(&mut candidates_from(&[voter(9)]), &THREE_VOTERS(), &[]), Some(vec![1, 2, 3, 9]));
 }
 
 #[test]
-fn two_voters_are_never_made_fewer() {
+fn a_group_of_two_never_shrinks() {
     let two = [voter(1), voter(2)];
-    assert_eq!(next(&mut asking(&[voter(9)]), &two, &[(2, 60_000)]), Some(vec![1, 2, 9]));
+    assert_eq!(next(&mut candidates_from(&[voter(9)]), &two, &[(2, 60_000)]), Some(vec![1, 2, 9]));
 }
 
 #[test]
-fn a_surplus_voter_goes_only_after_long_silence() {
+fn a_surplus_voter_is_removed_only_after_long_silence() {
     let four = [voter(1), voter(2), voter(3), voter(4)];
     assert_eq!(next(&mut Candidates::default(), &four, &[(3, 3_000)]), None);
     assert_eq!(next(&mut Candidates::default(), &four, &[(3, 6_000)]), Some(vec![1, 2, 4]));
 }
 
 #[test]
-fn a_request_counts_only_while_it_is_repeated() {
+fn a_request_expires_unless_it_is_repeated() {
     let mut candidates = Candidates::default();
-    candidates.ask(0, 9, voter(9).address, "z");
+    candidates.add_request(0, 9, voter(9).address, "z");
     let silent_for = BTreeMap::new();
-    let voters = THREE();
+    let voters = THREE_VOTERS();
     let zones = BTreeMap::new();
-    let group = Group {
+    let group = VoterGroup {
         own_id: 1,
         voters: &voters,
         silent_for: &silent_for,
@@ -109,31 +109,32 @@
     assert_eq!(candidates.next_voters(3_000, &group), None);
 }
 
-/// Found on the grown deployments, which may lose two members with their disks: three voters were left with one.
+/// Regression (grown deployments, which may lose two members with their disks): the group stayed at three
+/// voters, and two losses left it with one.
 #[test]
 fn a_group_that_may_lose_two_members_grows_to_five_voters() {
-    let mut candidates = asking(&[voter(8), voter(9)]);
-    assert_eq!(next_to_lose(2, &mut candidates, &THREE(), &[]), Some(vec![1, 2, 3, 8]));
+    let mut candidates = candidates_from(&[voter(8), voter(9)]);
+    assert_eq!(next_for_losses(2, &mut candidates, &THREE_VOTERS(), &[]), Some(vec![1, 2, 3, 8]));
     let four = [voter(1), voter(2), voter(3), voter(8)];
-    assert_eq!(next_to_lose(2, &mut candidates, &four, &[]), Some(vec![1, 2, 3, 8, 9]));
+    assert_eq!(next_for_losses(2, &mut candidates, &four, &[]), Some(vec![1, 2, 3, 8, 9]));
 }
 
 #[test]
-fn a_sixth_member_stands_by_until_a_voter_is_silent() {
+fn a_sixth_member_stays_on_standby_until_a_voter_is_silent() {
     let five: Vec<Voter> = (1..=5).map(voter).collect();
-    let mut candidates = asking(&[voter(9)]);
+    let mut candidates = candidates_from(&[voter(9)]);
     assert_eq!(
-        next_to_lose(2, &mut candidates, &five, &[]),
+        next_for_losses(2, &mut candidates, &five, &[]),
         None,
-        "an even group has no majority when halved"
+        "a group with an even number of voters has no majority after an even split"
     );
-    assert_eq!(next_to_lose(2, &mut candidates, &five, &[(4, 2_000)]), Some(vec![1, 2, 3, 5]));
+    assert_eq!(next_for_losses(2, &mut candidates, &five, &[(4, 2_000)]), Some(vec![1, 2, 3, 5]));
     let four = [voter(1), voter(2), voter(3), voter(5)];
-    assert_eq!(next_to_lose(2, &mut candidates, &four, &[]), Some(vec![1, 2, 3, 5, 9]));
+    assert_eq!(next_for_losses(2, &mut candidates, &four, &[]), Some(vec![1, 2, 3, 5, 9]));
 }
 
 #[test]
-fn five_usual_voters_are_no_surplus() {
+fn five_target_voters_are_no_surplus() {
     let five: Vec<Voter> = (1..=5).map(voter).collect();
-    assert_eq!(next_to_lose(2, &mut Candidates::default(), &five, &[(4, 60_000)]), None);
+    assert_eq!(next_for_losses(2, &mut Candidates::default(), &five, &[(4, 60_000)]), None);
 }
--- a/crates/control/tests/admit_answer.rs
+++ b/crates/control/tests/admit_answer.rs
@@ -1,4 +1,4 @@
-//! What a process that asks to become a voter is told by a member that does not lead.
+//! The answer of a member that does not lead to a process that asks to become a voter.
 
 use dockwood_api::peer::AdmitAnswer;
 use dockwood_consensus::{Body, Message, Node, Probe, Recovered, Settings};
@@ -38,13 +38,17 @@
     })
 }
 
-/// Found on norrstrom-klubb-grown, trouble-2: a voter lost its disk while the leader was none of the daemons that its
-/// settings name. It asked only those, was never admitted, and after the loss of two more disks no majority was left.
+/// Regression (norrstrom-klubb-grown, trouble-2): a voter that had lost its disk asked only the daemons in
+/// its settings, none of which led. It was never admitted, and the loss of two more disks left no majority.
 #[test]
 fn a_follower_names_the_leader() {
     let mut node = follower();
     let moment = Moment { monotonic: 10, wall_ms: 10 };
-    assert_eq!(answer(&mut node, moment), Some(AdmitAnswer::NotLeader { leader: None }), "it knows none yet");
+    assert_eq!(
+        answer(&mut node, moment),
+        Some(AdmitAnswer::NotLeader { leader: None }),
+        "no leader is known yet"
+    );
     let heartbeat = Body::Append {
         previous_index: 0,
         previous_term: 0,
--- a/crates/control/tests/cold_servers.rs
+++ b/crates/control/tests/cold_servers.rs
@@ -1,7 +1,7 @@
-//! Which of a server's reports tell the leader that it is cold, or is no more.
+//! Which of a server's reports change whether the leader considers it cold.
 
 use dockwood_api::gateway::{InstanceReport, InstanceState};
-use dockwood_control::GatewayLeadership;
+use dockwood_control::GatewayLeaderState;
 use dockwood_state::{GatewayCommand, GatewayTables};
 
 fn report(sequence: u64, cold_ms: u64) -> InstanceReport {
@@ -21,17 +21,17 @@
     }
 }
 
-/// A leader with its tables, to which each command that it returns is applied.
+/// A leader and its tables; commands that it returns are applied at once.
 #[derive(Default)]
 struct Leader {
-    leadership: GatewayLeadership,
+    leader_state: GatewayLeaderState,
     tables: GatewayTables,
 }
 
 impl Leader {
-    /// Whether a report had to be committed.
-    fn hears(&mut self, report: &InstanceReport) -> bool {
-        let command: Option<GatewayCommand> = self.leadership.register(100, &self.tables, report);
+    /// Whether the report resulted in a command.
+    fn commits(&mut self, report: &InstanceReport) -> bool {
+        let command: Option<GatewayCommand> = self.leader_state.register(100, &self.tables, report);
         command.iter().for_each(|command| {
             self.tables.apply(command);
         });
@@ -46,25 +46,25 @@
 #[test]
 fn only_the_change_between_cold_and_warm_is_committed() {
     let mut leader = Leader::default();
-    assert!(leader.hears(&report(1, u64::MAX)));
-    assert!(!leader.hears(&report(2, 9_000)));
-    assert!(!leader.hears(&report(3, 1)));
+    assert!(leader.commits(&report(1, u64::MAX)));
+    assert!(!leader.commits(&report(2, 9_000)));
+    assert!(!leader.commits(&report(3, 1)));
     assert!(leader.is_cold());
-    assert!(leader.hears(&report(4, 0)));
-    assert!(!leader.hears(&report(5, 0)));
+    assert!(leader.commits(&report(4, 0)));
+    assert!(!leader.commits(&report(5, 0)));
     assert!(!leader.is_cold());
-    assert!(leader.hears(&report(6, 9_000)), "it may become cold again");
+    assert!(leader.commits(&report(6, 9_000)), "a server can become cold again");
     assert!(leader.is_cold());
 }
 
 #[test]
 fn a_late_report_changes_nothing() {
     let mut leader = Leader::default();
-    leader.hears(&report(5, 0));
-    leader.hears(&report(7, 9_000));
-    assert!(!leader.hears(&report(6, 0)), "sent before it became cold");
+    leader.commits(&report(5, 0));
+    leader.commits(&report(7, 9_000));
+    assert!(!leader.commits(&report(6, 0)), "sent before it became cold");
     assert!(leader.is_cold());
-    leader.hears(&report(9, 0));
-    assert!(!leader.hears(&report(8, 300)), "sent before it was warm");
+    leader.commits(&report(9, 0));
+    assert!(!leader.commits(&report(8, 300)), "sent before it was warm");
     assert!(!leader.is_cold());
 }
--- a/crates/control/tests/common/group.rs
+++ b/crates/control/tests/common/group.rs
@@ -1,7 +1,8 @@
-//! A control group of several voters, and the daemons of a large fleet that ask it for leases. Messages take one tick.
+//! A control group of several voters, and a large fleet of daemons that request leases. Messages take one
+//! tick.
 
-use super::fleet::{Followers, fleet_of};
-use super::plain_server_changes;
+use super::fleet::{Followers, state_with_daemons};
+use super::server_report_command;
 use dockwood_api::peer::{DelegatedRequest, DelegationAnswer, LeaseAnswer, LeaseRequest};
 use dockwood_consensus::{Message, Node, Recovered, Settings};
 use dockwood_control::{ControlNode, Input, Moment, Output};
@@ -10,22 +11,22 @@
 
 /// Time between two ticks, in milliseconds.
 pub const TICK_MS: u64 = 20;
-/// A daemon gives up a request after this time, in milliseconds.
+/// Time after which a daemon abandons a request, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 750;
 
-/// Whom an answer goes to.
+/// Receiver of an answer.
 #[derive(Clone, Copy, Debug)]
 pub enum ReplyTo {
-    /// A daemon that asked for a lease at a time.
+    /// A daemon that requested a lease at this time.
     Follower { number: usize, asked_at: u64 },
-    /// A voter, which waits for the answer to a message.
+    /// A voter that waits for the answer to a batch.
     Voter { voter: usize, number: u64 },
-    /// Nobody.
+    /// The answer is dropped.
     Nobody,
 }
 
-/// A message on its way to a voter.
-enum ToVoter {
+/// A message in transit to a voter.
+enum VoterMessage {
     Consensus(Message),
     Lease(LeaseRequest, ReplyTo),
     Delegate(Vec<DelegatedRequest>, ReplyTo),
@@ -33,12 +34,12 @@
     Submit(Vec<u8>),
 }
 
-/// What the leader of a fleet had to do.
+/// Messages that the leader had to handle.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
-    /// Requests for leases that daemons sent to it.
+pub struct LeaderLoad {
+    /// Lease requests sent by daemons.
     pub direct: u64,
-    /// Messages of voters that granted leases in its name.
+    /// Batches sent by voters that grant leases on its behalf.
     pub delegated: u64,
 }
 
@@ -46,11 +47,11 @@
 pub struct ControlGroup {
     pub now: u64,
     pub followers: Followers,
-    pub work: Work,
+    pub leader_load: LeaderLoad,
     nodes: Vec<Option<ControlNode<ReplyTo>>>,
-    /// Voter that each daemon asks next.
+    /// For each daemon, the voter that it asks next.
     targets: Vec<usize>,
-    on_way: Vec<(usize, ToVoter)>,
+    in_transit: Vec<(usize, VoterMessage)>,
     changes: u64,
 }
 
@@ -63,10 +64,10 @@
 }
 
 impl ControlGroup {
-    /// A group of so many voters that has just started, before so many daemons that follow it.
+    /// A newly started group with this many voters, and this many daemons that follow it.
     pub fn new(voters: usize, daemons: usize) -> ControlGroup {
         let ids: Vec<u64> = (1..=voters as u64).collect();
-        let state = fleet_of(daemons);
+        let state = state_with_daemons(daemons);
         let node = |voter: usize| {
             let settings = Settings {
                 id: voter as u64 + 1,
@@ -84,10 +85,10 @@
         ControlGroup {
             now: 0,
             followers: Followers::new(daemons, 1, state.tables.revision),
-            work: Work::default(),
+            leader_load: LeaderLoad::default(),
             nodes: (0..voters).map(node).collect(),
             targets: (0..daemons).map(|number| number % voters).collect(),
-            on_way: Vec::new(),
+            in_transit: Vec::new(),
             changes: 0,
         }
     }
@@ -102,7 +103,7 @@
         self.nodes.iter().position(|node| node.as_ref().is_some_and(|node| node.leads(moment)))
     }
 
-    /// The leader's node.
+    /// The node of the leader.
     pub fn leader_node(&self) -> Option<&ControlNode<ReplyTo>> {
         self.nodes[self.leader()?].as_ref()
     }
@@ -110,25 +111,25 @@
     /// A voter that does not lead.
     pub fn follower_voter(&self) -> usize {
         let leader = self.leader();
-        (0..self.nodes.len()).find(|voter| Some(*voter) != leader).expect("another voter")
+        (0..self.nodes.len()).find(|voter| Some(*voter) != leader).expect("a voter other than the leader")
     }
 
-    /// Ends a voter for good.
+    /// Stops a voter permanently.
     pub fn kill(&mut self, voter: usize) {
         self.nodes[voter] = None;
     }
 
-    /// A change that all daemons need; the revision that it makes is known once it is committed.
+    /// Submits a change that is relevant to all daemons; its revision is known once it is committed.
     pub fn change(&mut self) {
         self.changes += 1;
-        let command = plain_server_changes(self.now, self.changes);
+        let command = server_report_command(self.now, self.changes);
         if let Some(leader) = self.leader() {
-            self.on_way.push((leader, ToVoter::Submit(command)));
+            self.in_transit.push((leader, VoterMessage::Submit(command)));
         }
     }
 
-    /// Lets time pass, and calls `check` after each tick.
-    pub fn pass(&mut self, span_ms: u64, mut check: impl FnMut(&ControlGroup)) {
+    /// Advances time, and calls `check` after each tick.
+    pub fn advance(&mut self, span_ms: u64, mut check: impl FnMut(&ControlGroup)) {
         for _ in 0..span_ms / TICK_MS {
             self.tick();
             check(self);
@@ -137,8 +138,8 @@
 
     fn tick(&mut self) {
         self.now += TICK_MS;
-        self.ask();
-        let arriving = std::mem::take(&mut self.on_way);
+        self.send_requests();
+        let arriving = std::mem::take(&mut self.in_transit);
         for (voter, message) in arriving {
             self.deliver(voter, message);
         }
@@ -146,54 +147,54 @@
         for voter in 0..self.nodes.len() {
             let Some(node) = &mut self.nodes[voter] else { continue };
             node.take(moment, Input::Tick);
-            self.settle(voter);
+            self.finish_turn(voter);
         }
-        self.followers.take_copies(self.now);
+        self.followers.finish_transfers(self.now);
     }
 
-    fn ask(&mut self) {
+    fn send_requests(&mut self) {
         for number in 0..self.followers.all.len() {
             let asked_at = self.followers.all[number].asked_at;
             if asked_at.is_some_and(|asked_at| self.now >= asked_at + ANSWER_TIMEOUT_MS) {
                 self.followers.all[number].asked_at = None;
-                self.ask_another(number);
+                self.switch_target(number);
             }
             if let Some(request) = self.followers.ask(number, self.now) {
                 let reply = ReplyTo::Follower { number, asked_at: self.now };
-                self.on_way.push((self.targets[number], ToVoter::Lease(request, reply)));
+                self.in_transit.push((self.targets[number], VoterMessage::Lease(request, reply)));
             }
         }
     }
 
-    fn ask_another(&mut self, number: usize) {
+    fn switch_target(&mut self, number: usize) {
         self.targets[number] = (self.targets[number] + 1) % self.nodes.len();
     }
 
-    fn deliver(&mut self, voter: usize, message: ToVoter) {
+    fn deliver(&mut self, voter: usize, message: VoterMessage) {
         let leads = self.leader() == Some(voter);
         let moment = self.moment();
         let Some(node) = &mut self.nodes[voter] else {
-            if let ToVoter::Delegate(_, ReplyTo::Voter { voter, number }) = message {
-                self.on_way.push((voter, ToVoter::Delegated { number, answer: None }));
+            if let VoterMessage::Delegate(_, ReplyTo::Voter { voter, number }) = message {
+                self.in_transit.push((voter, VoterMessage::Delegated { number, answer: None }));
             }
             return;
         };
         match &message {
-            ToVoter::Lease(..) if leads => self.work.direct += 1,
-            ToVoter::Delegate(..) if leads => self.work.delegated += 1,
+            VoterMessage::Lease(..) if leads => self.leader_load.direct += 1,
+            VoterMessage::Delegate(..) if leads => self.leader_load.delegated += 1,
             _ => {}
         }
         let input = match message {
-            ToVoter::Consensus(message) => Input::Consensus(vec![message]),
-            ToVoter::Lease(request, reply) => Input::Lease(request, reply),
-            ToVoter::Delegate(requests, reply) => Input::Delegate(requests, reply),
-            ToVoter::Delegated { number, answer } => Input::Delegated { number, answer },
-            ToVoter::Submit(command) => Input::Submit(vec![(command, ReplyTo::Nobody)]),
+            VoterMessage::Consensus(message) => Input::Consensus(vec![message]),
+            VoterMessage::Lease(request, reply) => Input::Lease(request, reply),
+            VoterMessage::Delegate(requests, reply) => Input::Delegate(requests, reply),
+            VoterMessage::Delegated { number, answer } => Input::Delegated { number, answer },
+            VoterMessage::Submit(command) => Input::Submit(vec![(command, ReplyTo::Nobody)]),
         };
         node.take(moment, input);
     }
 
-    fn settle(&mut self, voter: usize) {
+    fn finish_turn(&mut self, voter: usize) {
         let moment = self.moment();
         loop {
             let Some(node) = &mut self.nodes[voter] else { return };
@@ -204,7 +205,7 @@
                     let last = entries.last().map(|last| (last.index, last.term));
                     persisted = last.or(persisted);
                 }
-                self.carry_out(voter, output);
+                self.handle_output(voter, output);
             }
             let Some((index, term)) = persisted else { return };
             if let Some(node) = &mut self.nodes[voter] {
@@ -213,26 +214,26 @@
         }
     }
 
-    fn carry_out(&mut self, voter: usize, output: Output<ReplyTo>) {
+    fn handle_output(&mut self, voter: usize, output: Output<ReplyTo>) {
         match output {
             Output::Send(message) => {
-                self.on_way.push((message.to as usize - 1, ToVoter::Consensus(message)));
+                self.in_transit.push((message.to as usize - 1, VoterMessage::Consensus(message)));
             }
             Output::DelegateLeases { leader, number, requests } => {
-                let message = ToVoter::Delegate(requests, ReplyTo::Voter { voter, number });
-                self.on_way.push((voter_at(leader), message));
+                let message = VoterMessage::Delegate(requests, ReplyTo::Voter { voter, number });
+                self.in_transit.push((voter_at(leader), message));
             }
             Output::DelegationReply(ReplyTo::Voter { voter, number }, answer) => {
-                self.on_way.push((voter, ToVoter::Delegated { number, answer: Some(answer) }));
+                self.in_transit.push((voter, VoterMessage::Delegated { number, answer: Some(answer) }));
             }
             Output::LeaseReply(ReplyTo::Follower { number, asked_at }, answer) => {
-                self.take_answer(number, asked_at, answer);
+                self.handle_answer(number, asked_at, answer);
             }
             _ => {}
         }
     }
 
-    fn take_answer(&mut self, number: usize, asked_at: u64, answer: LeaseAnswer) {
+    fn handle_answer(&mut self, number: usize, asked_at: u64, answer: LeaseAnswer) {
         if self.followers.all[number].asked_at != Some(asked_at) {
             return;
         }
@@ -242,9 +243,9 @@
                 self.targets[number] = next.unwrap_or(self.targets[number]);
             }
             LeaseAnswer::NotLeader { leader: Some(leader) } => self.targets[number] = voter_at(*leader),
-            LeaseAnswer::NotLeader { leader: None } => self.ask_another(number),
+            LeaseAnswer::NotLeader { leader: None } => self.switch_target(number),
         }
-        if !self.followers.take_answer(number, self.now, answer) {
+        if !self.followers.handle_answer(number, self.now, answer) {
             self.followers.all[number].asked_at = None;
         }
     }
--- a/crates/control/tests/common/leader.rs
+++ b/crates/control/tests/common/leader.rs
@@ -1,4 +1,4 @@
-//! A leader that is its own majority, to be asked by daemons and servers.
+//! A single-voter leader, for requests of daemons and servers.
 
 #![allow(dead_code)]
 
@@ -17,7 +17,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// A leader that is its own majority, with a disk that never fails. Replies are the names of those who asked.
+/// A single-voter leader with a disk that never fails. Reply handles are the names of the callers.
 pub struct Leader {
     pub node: ControlNode<String>,
     pub now: u64,
@@ -26,11 +26,11 @@
 
 impl Leader {
     pub fn elected() -> Leader {
-        Leader::elected_over(State::default())
+        Leader::elected_with_state(State::default())
     }
 
-    /// A leader that begins with a stored state.
-    pub fn elected_over(state: State) -> Leader {
+    /// A leader that starts from a stored state.
+    pub fn elected_with_state(state: State) -> Leader {
         let settings = Settings {
             id: 1,
             voters: vec![1],
@@ -43,8 +43,8 @@
         let addresses = BTreeMap::from([(1, address())]);
         let node = ControlNode::voter("leader", state, core, addresses);
         let mut leader = Leader { node, now: 0, answers: Vec::new() };
-        leader.pass(1_000);
-        assert!(leader.node.leads(leader.moment()), "a group of one elects itself");
+        leader.advance(1_000);
+        assert!(leader.node.leads(leader.moment()), "the only voter elects itself");
         leader
     }
 
@@ -68,15 +68,15 @@
         }
     }
 
-    pub fn pass(&mut self, span_ms: u64) {
+    pub fn advance(&mut self, span_ms: u64) {
         for _ in 0..span_ms / TICK_MS {
             self.now += TICK_MS;
             self.step(Input::Tick);
         }
     }
 
-    /// Takes an input, on which the leader decides with the next step.
-    pub fn take(&mut self, input: Input<String>) {
+    /// Handles an input; the leader decides on it in the next step.
+    pub fn handle_input(&mut self, input: Input<String>) {
         self.node.take(self.moment(), input);
     }
 
@@ -84,7 +84,7 @@
         std::mem::take(&mut self.answers)
     }
 
-    pub fn ask(&mut self, name: &str, applied_revision: u64) {
+    pub fn request_lease(&mut self, name: &str, applied_revision: u64) {
         let request = request(name, applied_revision);
         self.step(Input::Lease(request, name.to_string()));
     }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons that ask for leases.
+//! Fixtures for daemons that request leases.
 
 #![allow(dead_code)]
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Its request for a lease.
+/// A lease request of the daemon with this name.
 pub fn request(name: &str, applied_revision: u64) -> LeaseRequest {
     LeaseRequest {
         daemon: record(name),
@@ -39,8 +39,8 @@
     }
 }
 
-/// A change that all daemons need: a plain server reports something new, for the `count`th time.
-pub fn plain_server_changes(at_ms: u64, count: u64) -> Vec<u8> {
+/// A change that is relevant to all daemons: the `count`th changed report of a server.
+pub fn server_report_command(at_ms: u64, count: u64) -> Vec<u8> {
     let row = InstanceRow {
         id: "plain".to_string(),
         started_ms: None,
--- a/crates/control/tests/compression.rs
+++ b/crates/control/tests/compression.rs
@@ -1,4 +1,4 @@
-//! What daemons are sent in compressed form, and what they do with damaged pieces: nothing is applied in part.
+//! Compressed content and the handling of damaged pieces: nothing is applied in part.
 
 mod common;
 
@@ -16,8 +16,8 @@
     RevisedCommand { revision, command }
 }
 
-/// Gives a daemon what came with its lease; returns the codes of what it recorded.
-fn give(daemon: &mut ControlNode<()>, content: LeaseContent) -> Vec<ResultCode> {
+/// Passes lease content to a daemon; returns the result codes of the recorded events.
+fn apply_content(daemon: &mut ControlNode<()>, content: LeaseContent) -> Vec<ResultCode> {
     let lease = GrantedLease { in_force_revision: 0, content };
     let outputs = daemon.step(Moment::default(), Input::LeaseGranted(lease));
     let recorded = outputs.into_iter().filter_map(|output| match output {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn names_that_repeat_take_a_third_of_the_room_or_less() {
+fn repeated_names_compress_to_a_third_or_less() {
     let mut state = State::default();
     for number in 0..327 {
         state.apply(&join(&format!("edge-sanjose-{number}.entry")));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_was_cut_off_or_tells_a_wrong_length_is_refused() {
+fn truncated_data_and_wrong_lengths_are_rejected() {
     let compressed = compress(&[7; 1_000]);
     let mut too_long = compressed.clone();
     too_long[..4].copy_from_slice(&u32::MAX.to_le_bytes());
@@ -56,33 +56,33 @@
     let command = |name: &str| compress(&encode_command(&join(name)));
     let damaged = command("b")[..10].to_vec();
     let commands = vec![revised(1, command("a")), revised(2, damaged), revised(3, command("c"))];
-    let recorded = give(&mut daemon, LeaseContent::Commands { commands, through: 3 });
+    let recorded = apply_content(&mut daemon, LeaseContent::Commands { commands, through: 3 });
     assert_eq!(recorded, [ResultCode::FormatUnknown]);
     assert_eq!(daemon.tables().revision, 1);
     let commands = vec![revised(2, command("b")), revised(3, command("c"))];
-    assert!(give(&mut daemon, LeaseContent::Commands { commands, through: 5 }).is_empty());
+    assert!(apply_content(&mut daemon, LeaseContent::Commands { commands, through: 5 }).is_empty());
     assert_eq!(daemon.tables().daemons.keys().cloned().collect::<Vec<String>>(), ["a", "b", "c"]);
-    assert_eq!(daemon.tables().revision, 5, "what changes nothing for it counts all the same");
+    assert_eq!(daemon.tables().revision, 5, "irrelevant revisions advance the revision too");
 }
 
 #[test]
-fn a_damaged_copy_of_the_state_changes_nothing() {
+fn a_damaged_snapshot_changes_nothing() {
     let mut daemon: ControlNode<()> = ControlNode::follower("follower");
     let mut state = State::default();
     state.apply(&join("a"));
     let copy = compress(&state.encode_for_followers());
     let damaged = LeaseContent::Snapshot(copy[..copy.len() - 2].to_vec());
-    assert_eq!(give(&mut daemon, damaged), [ResultCode::FormatUnknown]);
+    assert_eq!(apply_content(&mut daemon, damaged), [ResultCode::FormatUnknown]);
     assert_eq!(daemon.tables().revision, 0);
-    assert!(give(&mut daemon, LeaseContent::Snapshot(copy)).is_empty());
+    assert!(apply_content(&mut daemon, LeaseContent::Snapshot(copy)).is_empty());
     assert_eq!(daemon.tables().revision, 1);
 }
 
 #[test]
-fn a_daemon_that_is_told_what_it_has_already_stays_as_it_is() {
+fn content_that_a_daemon_already_has_changes_nothing() {
     let mut daemon: ControlNode<()> = ControlNode::follower("follower");
     let commands = vec![revised(4, compress(&encode_command(&join("a"))))];
-    give(&mut daemon, LeaseContent::Commands { commands: commands.clone(), through: 6 });
-    give(&mut daemon, LeaseContent::Commands { commands, through: 4 });
+    apply_content(&mut daemon, LeaseContent::Commands { commands: commands.clone(), through: 6 });
+    apply_content(&mut daemon, LeaseContent::Commands { commands, through: 4 });
     assert_eq!(daemon.tables().revision, 6);
 }
--- a/crates/control/tests/departures.rs
+++ b/crates/control/tests/departures.rs
@@ -1,10 +1,10 @@
-//! What the leader makes of servers that say that they leave, or sign off, while their group serves.
+//! The leader's reaction to servers that announce that they leave, or sign off, while their group is serving.
 
 use dockwood_api::gateway::{
     EngineProfile, GatewayConfiguration, InstanceReport, InstanceState, MembershipReport, MembershipState,
     ModelProfile, ServiceProfile,
 };
-use dockwood_control::GatewayLeadership;
+use dockwood_control::GatewayLeaderState;
 use dockwood_grouping::GroupingPolicy;
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupPurpose};
 use std::sync::Arc;
@@ -32,14 +32,14 @@
     }
 }
 
-/// A leader and its tables, and a group of two servers that serves.
-struct Serving {
-    leader: GatewayLeadership,
+/// A leader and its tables, with a serving group of two servers.
+struct ServingGroup {
+    leader: GatewayLeaderState,
     tables: GatewayTables,
 }
 
-impl Serving {
-    fn new() -> Serving {
+impl ServingGroup {
+    fn new() -> ServingGroup {
         let model =
             ModelProfile { name: MODEL.into(), size: 2, share: 1.0, pace: 1.0, load_ms: 100, warm_ms: 100 };
         let engine = EngineProfile { models: vec![model], ..EngineProfile::default() };
@@ -52,10 +52,10 @@
         };
         let configuration =
             GatewayConfiguration { version: 1, services: vec![service], ..GatewayConfiguration::default() };
-        let (leader, tables) = (GatewayLeadership::default(), GatewayTables::default());
-        let mut serving = Serving { leader, tables };
+        let (leader, tables) = (GatewayLeaderState::default(), GatewayTables::default());
+        let mut serving = ServingGroup { leader, tables };
         serving.apply(GatewayCommand::Configure(Arc::new(configuration)));
-        (0..2).for_each(|number| serving.hear(100, &report(number, 1, None)));
+        (0..2).for_each(|number| serving.register(100, &report(number, 1, None)));
         serving.apply(GatewayCommand::Form {
             service: SERVICE.to_string(),
             model: MODEL.to_string(),
@@ -63,8 +63,8 @@
             members: vec!["s0".to_string(), "s1".to_string()],
             reason: String::new(),
         });
-        serving.hear(200, &report(0, 2, Some(MembershipState::Open)));
-        serving.hear(200, &report(1, 2, Some(MembershipState::Ready)));
+        serving.register(200, &report(0, 2, Some(MembershipState::Open)));
+        serving.register(200, &report(1, 2, Some(MembershipState::Ready)));
         for phase in [GroupPhase::Opening, GroupPhase::Open] {
             serving.apply(GatewayCommand::SetPhase { epoch: EPOCH, phase, reason: String::new() });
         }
@@ -76,12 +76,12 @@
         self.tables.apply(&command);
     }
 
-    fn hear(&mut self, now: u64, report: &InstanceReport) {
+    fn register(&mut self, now: u64, report: &InstanceReport) {
         let command = self.leader.register(now, &self.tables, report);
         command.into_iter().for_each(|command| self.apply(command));
     }
 
-    /// Decides, and sends what is due then.
+    /// Decides, and sends the orders that are due.
     fn decide(&mut self, now: u64) {
         let policy = GroupingPolicy::default();
         let commands = self.leader.decide(now, &self.tables, policy);
@@ -95,11 +95,11 @@
 }
 
 #[test]
-fn a_group_serves_on_from_when_the_leader_learned_that_a_member_leaves() {
-    let mut serving = Serving::new();
+fn the_grace_period_of_a_group_starts_when_the_leader_learns_that_a_member_leaves() {
+    let mut serving = ServingGroup::new();
     let mut leaving = report(1, 3, Some(MembershipState::Ready));
     leaving.state = InstanceState::Draining;
-    serving.hear(1_000, &leaving);
+    serving.register(1_000, &leaving);
     serving.decide(1_000);
     serving.decide(2_900);
     assert_eq!(serving.phase(), Some(GroupPhase::Open));
@@ -109,23 +109,26 @@
 
 #[test]
 fn a_new_leader_that_finds_a_member_leaving_drains_its_group() {
-    let mut serving = Serving::new();
+    let mut serving = ServingGroup::new();
     serving.apply(GatewayCommand::SignOff { id: "s1".to_string() });
-    serving.leader = GatewayLeadership::default();
+    serving.leader = GatewayLeaderState::default();
     serving.decide(60_000);
     assert_eq!(serving.phase(), Some(GroupPhase::Draining));
 }
 
-/// A head that signs off without a word before serves on, closes its group and reports that.
+/// A head that signs off without prior notice keeps serving, closes its group and reports that.
 #[test]
-fn what_a_signed_off_head_tells_of_its_group_counts() {
-    let mut serving = Serving::new();
+fn reports_of_a_signed_off_head_on_its_group_are_accepted() {
+    let mut serving = ServingGroup::new();
     serving.apply(GatewayCommand::SignOff { id: "s0".to_string() });
     serving.decide(1_000);
     assert_eq!(serving.phase(), Some(GroupPhase::Draining));
-    serving.hear(1_500, &report(0, 3, Some(MembershipState::Ready)));
-    serving.hear(1_600, &report(0, 4, None));
+    serving.register(1_500, &report(0, 3, Some(MembershipState::Ready)));
+    serving.register(1_600, &report(0, 4, None));
     serving.decide(1_600);
-    assert_eq!(serving.phase(), None, "it has closed and left");
-    assert!(serving.tables.instances["s0"].state == InstanceState::Draining, "it takes no new work");
+    assert_eq!(serving.phase(), None, "the group has closed");
+    assert!(
+        serving.tables.instances["s0"].state == InstanceState::Draining,
+        "a signed-off server must not become ready again"
+    );
 }
--- a/crates/control/tests/evacuation.rs
+++ b/crates/control/tests/evacuation.rs
@@ -1,10 +1,10 @@
-//! What the leader grants entries at groups of an evacuated zone.
+//! Places granted to entries at groups in an evacuated zone.
 
 use dockwood_api::gateway::{
     EngineProfile, GatewayConfiguration, InstanceReport, InstanceState, LoadReport, ModelProfile,
     ServiceProfile,
 };
-use dockwood_control::GatewayLeadership;
+use dockwood_control::GatewayLeaderState;
 use dockwood_state::{GatewayCommand, GatewayTables, GroupPhase, GroupPurpose, InstanceRow};
 use std::sync::Arc;
 
@@ -66,17 +66,17 @@
 }
 
 /// Groups at which an entry is granted places.
-fn granted(leader: &mut GatewayLeadership, now: u64, tables: &GatewayTables) -> Vec<u64> {
+fn granted(leader: &mut GatewayLeaderState, now: u64, tables: &GatewayTables) -> Vec<u64> {
     let report =
         LoadReport { daemon: "entry".to_string(), scope: None, groups: Vec::new(), models: Vec::new() };
-    let digest = leader.exchange(now, tables, 1, report, true);
+    let digest = leader.exchange_load(now, tables, 1, report, true);
     digest.groups.iter().filter(|shared| shared.granted > 0).map(|shared| shared.epoch).collect()
 }
 
 #[test]
 fn entries_are_granted_no_places_in_an_evacuated_zone() {
     let mut tables = two_groups();
-    let mut leader = GatewayLeadership::default();
+    let mut leader = GatewayLeaderState::default();
     assert_eq!(granted(&mut leader, 1_000, &tables), [1, 2]);
     for (generation, evacuated, expected) in [(0, true, vec![2]), (1, false, vec![1, 2])] {
         let zone = "z".to_string();
