--- a/crates/control/src/driver_io.rs
+++ b/crates/control/src/driver_io.rs
@@ -213,7 +213,7 @@
     /// Record an event in the timeline.
     Record {
         /// The event.
-        account: TimelineEvent,
+        event: TimelineEvent,
         /// The revision that caused it.
         revision: Option<u64>,
     },
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -329,13 +329,13 @@
     }
 
     pub(crate) fn record_event(&mut self, reason: &str, message: &str, code: ResultCode) {
-        let account = TimelineEvent {
+        let event = TimelineEvent {
             subject: Subject::new("daemon", &self.name),
             reason: reason.to_string(),
             message: message.to_string(),
             code,
         };
-        self.outputs.push(Output::Record { account, revision: None });
+        self.outputs.push(Output::Record { event, revision: None });
     }
 
     pub(crate) fn apply(&mut self, command: &Command) -> Applied {
@@ -353,8 +353,8 @@
         self.dirty = true;
         // All voters record timeline events, so that they survive the loss of any one voter.
         if self.voter.is_some() {
-            for account in timeline_events(command, applied, self.board.tables()) {
-                self.outputs.push(Output::Record { account, revision: Some(revision) });
+            for event in timeline_events(command, applied, self.board.tables()) {
+                self.outputs.push(Output::Record { event, revision: Some(revision) });
             }
         }
     }
--- a/crates/control/tests/compression.rs
+++ b/crates/control/tests/compression.rs
@@ -21,7 +21,7 @@
     let lease = GrantedLease { in_force_revision: 0, content };
     let outputs = daemon.step(Moment::default(), Input::LeaseGranted(lease));
     let recorded = outputs.into_iter().filter_map(|output| match output {
-        Output::Record { account, .. } => Some(account.code),
+        Output::Record { event, .. } => Some(event.code),
         _ => None,
     });
     recorded.collect()
--- a/crates/control/tests/voter_view.rs
+++ b/crates/control/tests/voter_view.rs
@@ -25,8 +25,8 @@
     for _ in 0..span_ms / TICK_MS {
         leader.now += TICK_MS;
         for output in leader.node.step(leader.moment(), Input::Tick) {
-            if let Output::Record { account, .. } = output {
-                recorded_reasons.push((leader.now, account.reason));
+            if let Output::Record { event, .. } = output {
+                recorded_reasons.push((leader.now, event.reason));
             }
         }
     }
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -299,9 +299,9 @@
             Output::ObserveReply(reply, taken) => reply.observe(taken),
             Output::ViewReply(reply, view) => reply.view(view),
             Output::SendOrder(order) => self.orders.send(*order),
-            Output::Record { account, revision } => {
-                let (subject, code) = (account.subject, account.code);
-                self.shared.timeline.record(subject, &account.reason, &account.message, revision, code);
+            Output::Record { event, revision } => {
+                let (subject, code) = (event.subject, event.code);
+                self.shared.timeline.record(subject, &event.reason, &event.message, revision, code);
             }
             Output::Touched { revision, keys } => {
                 self.shared.metrics.commands_committed.inc();
