--- a/crates/control/src/entry_summary.rs
+++ b/crates/control/src/entry_summary.rs
@@ -10,12 +10,12 @@
 /// A value derived from the daemons' rows, computed again only when one of them changes: it is needed for
 /// every report and every request.
 #[derive(Clone, Debug, Default)]
-pub struct FromDaemons<T> {
+pub struct DaemonDerived<T> {
     daemons: OrdMap<String, Arc<DaemonRow>>,
     value: T,
 }
 
-impl<T> FromDaemons<T> {
+impl<T> DaemonDerived<T> {
     /// Returns the value for these tables. `T::default()` must be the value for an empty table.
     pub fn get(&mut self, tables: &Tables, compute: impl FnOnce(&Tables) -> T) -> &mut T {
         if !self.daemons.ptr_eq(&tables.daemons) {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -6,7 +6,7 @@
 use crate::blackboard::Blackboard;
 use crate::catch_up::SnapshotCache;
 use crate::driver_io::{Input, Moment, Output};
-use crate::entry_summary::{EntryCensus, FromDaemons};
+use crate::entry_summary::{DaemonDerived, EntryCensus};
 use crate::leader::{LeaderState, record_observations};
 use crate::timeline::{TimelineEvent, timeline_events};
 use crate::voter::{VoterState, Waiter};
@@ -83,9 +83,9 @@
     pub(crate) dirty: bool,
     /// Commands of the inputs handled in the current turn.
     batch: Batch<R>,
-    pub(crate) entry_summary: FromDaemons<EntryCensus>,
+    pub(crate) entry_summary: DaemonDerived<EntryCensus>,
     /// Zones of the daemons that may be voters, by peer address.
-    pub(crate) member_zones: FromDaemons<MemberZones>,
+    pub(crate) member_zones: DaemonDerived<MemberZones>,
     pub(crate) next_in_force_check_at: Millis,
     /// Snapshot for daemons that are referred to this one.
     snapshot_cache: SnapshotCache,
@@ -103,8 +103,8 @@
             in_force_revision: 0,
             dirty: true,
             batch: Batch::default(),
-            entry_summary: FromDaemons::default(),
-            member_zones: FromDaemons::default(),
+            entry_summary: DaemonDerived::default(),
+            member_zones: DaemonDerived::default(),
             next_in_force_check_at: 0,
             snapshot_cache: SnapshotCache::default(),
             outputs: Vec::new(),
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -5,7 +5,7 @@
 use crate::clock::monotonic_ms;
 use dockwood_api::digest::rendezvous_weight;
 use dockwood_api::gateway::DispatchScope;
-use dockwood_control::{EntryCensus, FromDaemons};
+use dockwood_control::{DaemonDerived, EntryCensus};
 use dockwood_grouping::SENDERS_AT_ONCE;
 use dockwood_state::{DaemonRow, Tables};
 use std::collections::HashMap;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct Dispatchers {
     leader_dispatches_up_to: usize,
-    fleet: Mutex<FromDaemons<Fleet>>,
+    fleet: Mutex<DaemonDerived<Fleet>>,
     resting: Mutex<HashMap<SocketAddr, u64>>,
 }
 
