--- a/crates/control/src/entry_summary.rs
+++ b/crates/control/src/entry_summary.rs
@@ -28,7 +28,7 @@
 
 /// Entries (daemons with a gateway frontend).
 #[derive(Clone, Debug, Default)]
-pub struct EntryCensus {
+pub struct EntrySummary {
     /// Number of entries, whether or not they were heard from recently.
     pub entries: u32,
     /// Number of entries that clients may be sent to.
@@ -36,12 +36,12 @@
     control_hosts: BTreeSet<IpAddr>,
 }
 
-impl EntryCensus {
+impl EntrySummary {
     /// Computes the summary of these tables.
-    pub fn of(tables: &Tables) -> EntryCensus {
+    pub fn of(tables: &Tables) -> EntrySummary {
         let is_entry = |daemon: &&Arc<DaemonRow>| daemon.record.frontend.is_some();
         let members = tables.daemons.values().filter(|daemon| daemon.record.operators.is_some());
-        EntryCensus {
+        EntrySummary {
             entries: tables.daemons.values().filter(is_entry).count() as u32,
             reachable_entries: tables.reachable_daemons().filter(is_entry).count() as u32,
             control_hosts: members.map(|member| member.record.peer.ip()).collect(),
--- a/crates/control/src/gateway_inputs.rs
+++ b/crates/control/src/gateway_inputs.rs
@@ -1,7 +1,7 @@
 //! Handles the gateway inputs of a control node: server reports, entries' loads, and reads.
 
 use crate::driver_io::{Moment, Output};
-use crate::entry_summary::EntryCensus;
+use crate::entry_summary::EntrySummary;
 use crate::gateway::GatewayLeaderState;
 use crate::node::{Batch, ControlNode};
 use crate::voter::{VoterState, Waiter};
@@ -22,7 +22,7 @@
     /// Records an entry's load; `None` if this node does not lead.
     pub(crate) fn exchange_load(&mut self, now: Moment, report: LoadReport) -> Option<LoadDigest> {
         let tables = &self.board.state.tables;
-        let summary = self.entry_summary.get(tables, EntryCensus::of);
+        let summary = self.entry_summary.get(tables, EntrySummary::of);
         let entries = summary.reachable_entries;
         let is_witness = summary.is_witness(tables, &report.daemon);
         let (gateway, tables) = self.leading_gateway(now)?;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -42,7 +42,7 @@
 pub use compression::{compress, decompress};
 pub use dockwood_grouping::{GroupingPolicy, ProbeResult};
 pub use driver_io::{GrantedLease, Input, Moment, OrderToSend, Output, StoredSnapshot};
-pub use entry_summary::{DaemonDerived, EntryCensus};
+pub use entry_summary::{DaemonDerived, EntrySummary};
 pub use gateway::{GatewayLeaderState, InstanceProbe, ProbeQuestion};
 pub use input_lag::{InputLag, PULSE_EVERY_MS};
 pub use leases::{
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -6,7 +6,7 @@
 use crate::blackboard::Blackboard;
 use crate::catch_up::SnapshotCache;
 use crate::driver_io::{Input, Moment, Output};
-use crate::entry_summary::{DaemonDerived, EntryCensus};
+use crate::entry_summary::{DaemonDerived, EntrySummary};
 use crate::leader::{LeaderState, record_observations};
 use crate::timeline::{TimelineEvent, timeline_events};
 use crate::voter::{VoterState, Waiter};
@@ -83,7 +83,7 @@
     pub(crate) dirty: bool,
     /// Commands of the inputs handled in the current turn.
     batch: Batch<R>,
-    pub(crate) entry_summary: DaemonDerived<EntryCensus>,
+    pub(crate) entry_summary: DaemonDerived<EntrySummary>,
     /// Zones of the daemons that may be voters, by peer address.
     pub(crate) member_zones: DaemonDerived<MemberZones>,
     pub(crate) next_in_force_check_at: Millis,
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -5,7 +5,7 @@
 use crate::clock::monotonic_ms;
 use dockwood_api::digest::rendezvous_weight;
 use dockwood_api::gateway::DispatchScope;
-use dockwood_control::{DaemonDerived, EntryCensus};
+use dockwood_control::{DaemonDerived, EntrySummary};
 use dockwood_grouping::SENDERS_AT_ONCE;
 use dockwood_state::{DaemonRow, Tables};
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 /// What follows from the daemons' rows.
 #[derive(Debug, Default)]
 struct Fleet {
-    census: EntryCensus,
+    census: EntrySummary,
     /// Dispatchers of the scopes that were asked for.
     ranked: HashMap<DispatchScope, Arc<[SocketAddr]>>,
     /// Who shares out the limits of servers, by server id.
@@ -40,7 +40,7 @@
 
 impl Fleet {
     fn of(tables: &Tables) -> Fleet {
-        Fleet { census: EntryCensus::of(tables), ranked: HashMap::new(), turn_givers: HashMap::new() }
+        Fleet { census: EntrySummary::of(tables), ranked: HashMap::new(), turn_givers: HashMap::new() }
     }
 }
 
@@ -123,7 +123,7 @@
 
 /// Daemons that may dispatch a scope, the first choice first: live entries of its zone on machines that no member of the
 /// control group needs.
-fn rank(tables: &Tables, census: &EntryCensus, scope: &DispatchScope) -> Vec<SocketAddr> {
+fn rank(tables: &Tables, census: &EntrySummary, scope: &DispatchScope) -> Vec<SocketAddr> {
     let key = format!("{}/{}/{}", scope.zone, scope.service, scope.model);
     let suits = |daemon: &&Arc<DaemonRow>| {
         let record = &daemon.record;
@@ -137,7 +137,7 @@
 /// control group needs, else any entries, else any daemons.
 fn rank_turn_givers(
     tables: &Tables,
-    census: &EntryCensus,
+    census: &EntrySummary,
     server: &str,
     zone: Option<&str>,
 ) -> Vec<SocketAddr> {
