--- a/crates/control/src/entry_summary.rs
+++ b/crates/control/src/entry_summary.rs
@@ -51,11 +51,11 @@
     /// Whether an entry runs on another host than all members of the control group, and thus reaches the
     /// servers over another network path.
     pub fn is_witness(&self, tables: &Tables, daemon: &str) -> bool {
-        tables.daemons.get(daemon).is_some_and(|entry| self.is_apart(entry))
+        tables.daemons.get(daemon).is_some_and(|entry| self.is_on_separate_host(entry))
     }
 
     /// Whether a daemon runs on a host without a member of the control group.
-    pub fn is_apart(&self, daemon: &DaemonRow) -> bool {
+    pub fn is_on_separate_host(&self, daemon: &DaemonRow) -> bool {
         !self.control_hosts.contains(&daemon.record.peer.ip())
     }
 }
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -128,7 +128,7 @@
     let suits = |daemon: &&Arc<DaemonRow>| {
         let record = &daemon.record;
         let is_near = record.frontend.is_some() && record.zone == scope.zone;
-        is_near && census.is_apart(daemon)
+        is_near && census.is_on_separate_host(daemon)
     };
     first_by_weight(&key, tables.reachable_daemons().filter(suits))
 }
@@ -143,7 +143,8 @@
 ) -> Vec<SocketAddr> {
     let is_entry = |daemon: &&Arc<DaemonRow>| daemon.record.frontend.is_some();
     let is_near = |daemon: &&Arc<DaemonRow>| zone.is_some_and(|zone| daemon.record.zone == zone);
-    let suits = |daemon: &&Arc<DaemonRow>| is_entry(daemon) && is_near(daemon) && census.is_apart(daemon);
+    let suits =
+        |daemon: &&Arc<DaemonRow>| is_entry(daemon) && is_near(daemon) && census.is_on_separate_host(daemon);
     let near = first_by_weight(server, tables.reachable_daemons().filter(suits));
     if !near.is_empty() {
         return near;
