--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -59,7 +59,7 @@
 }
 
 /// Number of voters needed to keep a majority after `losses` of them fail at once, disks included.
-pub fn voters_to_lose(losses: usize) -> usize {
+pub fn voters_for_losses(losses: usize) -> usize {
     (2 * losses + 1).clamp(MIN_VOTERS, MAX_VOTERS)
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -35,7 +35,7 @@
 mod voter_zones;
 mod zone_balance;
 
-pub use admission::{Candidates, VoterGroup, voters_to_lose};
+pub use admission::{Candidates, VoterGroup, voters_for_losses};
 pub use announcements::Announcements;
 pub use blackboard::{Blackboard, Observed};
 pub use catch_up::{CatchUp, RetainedCommands};
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -2,7 +2,7 @@
 //! outputs.
 
 use crate::Millis;
-use crate::admission::voters_to_lose;
+use crate::admission::voters_for_losses;
 use crate::blackboard::Blackboard;
 use crate::catch_up::SnapshotCache;
 use crate::driver_io::{Input, Moment, Output};
@@ -52,7 +52,7 @@
             placement: PlacementPolicy::default(),
             grouping: GroupingPolicy::default(),
             cold_limit: ColdLimit::default(),
-            usual_voters: voters_to_lose(1),
+            usual_voters: voters_for_losses(1),
             bears_zone_loss: false,
             leader_leases_up_to: LEADER_LEASES_UP_TO,
         }
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Selection of the next set of voters.
 
 use dockwood_consensus::Voter;
-use dockwood_control::{Candidates, VoterGroup, voters_to_lose};
+use dockwood_control::{Candidates, VoterGroup, voters_for_losses};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -28,7 +28,7 @@
     let mut silent_for: BTreeMap<u64, u64> =
         voters.iter().filter(|voter| voter.id != 1).map(|voter| (voter.id, 50)).collect();
     silent_for.extend(silent.iter().copied());
-    let usual_voters = voters_to_lose(losses);
+    let usual_voters = voters_for_losses(losses);
     let zones = BTreeMap::new();
     let group = VoterGroup {
         own_id: 1,
@@ -102,7 +102,7 @@
         own_id: 1,
         voters: &voters,
         silent_for: &silent_for,
-        usual_voters: voters_to_lose(1),
+        usual_voters: voters_for_losses(1),
         zones: &zones,
         bears_zone_loss: false,
     };
--- a/crates/control/tests/voter_zones.rs
+++ b/crates/control/tests/voter_zones.rs
@@ -1,7 +1,7 @@
 //! Distribution of voters over zones: the loss of any one zone, or of any two members, must leave a majority.
 
 use dockwood_consensus::Voter;
-use dockwood_control::{Candidates, VoterGroup, ZoneCounts, ZonesById, voters_to_lose};
+use dockwood_control::{Candidates, VoterGroup, ZoneCounts, ZonesById, voters_for_losses};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -113,7 +113,7 @@
             own_id: leader.id,
             voters: &self.voters,
             silent_for: &silent_for,
-            usual_voters: voters_to_lose(self.losses),
+            usual_voters: voters_for_losses(self.losses),
             zones: &self.zones,
             bears_zone_loss: true,
         };
@@ -238,7 +238,7 @@
         own_id: 1,
         voters: &group_voters,
         silent_for: &silent_for,
-        usual_voters: voters_to_lose(losses),
+        usual_voters: voters_for_losses(losses),
         zones: &zones,
         bears_zone_loss: true,
     };
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -17,7 +17,7 @@
 use dockwood_api::peer::LeaseAnswer;
 use dockwood_consensus::{Message, Node, NodeId, Payload, Voter};
 use dockwood_control::{
-    ControlNode, GroupingPolicy, Input, Moment, Options, Output, voters_of, voters_to_lose,
+    ControlNode, GroupingPolicy, Input, Moment, Options, Output, voters_for_losses, voters_of,
 };
 use dockwood_storage::StorageError;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
             heartbeat: gateway.heartbeat,
         });
         let grouping = bounds.unwrap_or_default();
-        let usual_voters = voters_to_lose(settings.seeds.losses_tolerated).max(settings.voters.len());
+        let usual_voters = voters_for_losses(settings.seeds.losses_tolerated).max(settings.voters.len());
         let node = ControlNode::voter(&settings.name, found.state, core, addresses).with_options(Options {
             grouping,
             cold_limit: settings.cold_limit(),
