--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -51,7 +51,7 @@
     /// For each other voter, the time since its last answer.
     pub silent_for: &'a BTreeMap<NodeId, Millis>,
     /// Number of voters to keep if enough members are available.
-    pub usual_voters: usize,
+    pub target_voters: usize,
     /// Zones of the voters, as far as known.
     pub zones: &'a ZonesById,
     /// Whether the group has to tolerate the loss of a whole zone.
@@ -108,7 +108,7 @@
             candidates: requests.map(|(id, (address, _))| Voter { id: *id, address: *address }).collect(),
             balances_zones: group.bears_zone_loss && has_enough_zones(&zones),
             zones,
-            max_voters: group.usual_voters.max(GROWTH_LIMIT),
+            max_voters: group.target_voters.max(GROWTH_LIMIT),
         }
     }
 
@@ -129,7 +129,7 @@
             }
         }
         // With zone balancing, a candidate that can't replace a silent voter may remain on standby.
-        let may_shrink = voters.len() > self.group.usual_voters;
+        let may_shrink = voters.len() > self.group.target_voters;
         let is_last_resort = self.candidates.is_empty() || self.balances_zones;
         let removed =
             self.surplus().or_else(|| self.unbalancing_voter()).filter(|_| may_shrink && is_last_resort);
@@ -203,7 +203,7 @@
         let (id, _) = longest.filter(|(_, silent)| **silent >= SURPLUS_AFTER_MS)?;
         let remaining = without(self.group.voters, *id);
         let can_rebalance =
-            || remaining.len() > self.group.usual_voters && self.balancing_removal(&remaining).is_some();
+            || remaining.len() > self.group.target_voters && self.balancing_removal(&remaining).is_some();
         let is_needed = self.balances_zones && !self.is_balanced(&remaining) && !can_rebalance();
         (!is_needed).then_some(*id)
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -36,7 +36,7 @@
     /// By how much the rate declared by cold servers may be exceeded, over all daemons.
     pub cold_limit: ColdLimit,
     /// Number of voters to keep if enough members are available.
-    pub usual_voters: usize,
+    pub target_voters: usize,
     /// Whether to tolerate the loss of a whole zone: then no zone may hold half of the voters.
     pub bears_zone_loss: bool,
     /// Number of daemons up to which the leader answers all lease requests itself; with more daemons the
@@ -52,7 +52,7 @@
             placement: PlacementPolicy::default(),
             grouping: GroupingPolicy::default(),
             cold_limit: ColdLimit::default(),
-            usual_voters: voters_for_losses(1),
+            target_voters: voters_for_losses(1),
             bears_zone_loss: false,
             leader_leases_up_to: LEADER_LEASES_UP_TO,
         }
--- a/crates/control/src/voter_turn.rs
+++ b/crates/control/src/voter_turn.rs
@@ -97,7 +97,7 @@
             own_id: voter.core.id(),
             voters: &voters,
             silent_for: &silent_for,
-            usual_voters: self.options.usual_voters,
+            target_voters: self.options.target_voters,
             zones: &zones,
             bears_zone_loss,
         };
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -28,13 +28,13 @@
     let mut silent_for: BTreeMap<u64, u64> =
         voters.iter().filter(|voter| voter.id != 1).map(|voter| (voter.id, 50)).collect();
     silent_for.extend(silent.iter().copied());
-    let usual_voters = voters_for_losses(losses);
+    let target_voters = voters_for_losses(losses);
     let zones = BTreeMap::new();
     let group = VoterGroup {
         own_id: 1,
         voters,
         silent_for: &silent_for,
-        usual_voters,
+        target_voters,
         zones: &zones,
         bears_zone_loss: false,
     };
@@ -102,7 +102,7 @@
         own_id: 1,
         voters: &voters,
         silent_for: &silent_for,
-        usual_voters: voters_for_losses(1),
+        target_voters: voters_for_losses(1),
         zones: &zones,
         bears_zone_loss: false,
     };
--- a/crates/control/tests/voter_zones.rs
+++ b/crates/control/tests/voter_zones.rs
@@ -113,7 +113,7 @@
             own_id: leader.id,
             voters: &self.voters,
             silent_for: &silent_for,
-            usual_voters: voters_for_losses(self.losses),
+            target_voters: voters_for_losses(self.losses),
             zones: &self.zones,
             bears_zone_loss: true,
         };
@@ -238,7 +238,7 @@
         own_id: 1,
         voters: &group_voters,
         silent_for: &silent_for,
-        usual_voters: voters_for_losses(losses),
+        target_voters: voters_for_losses(losses),
         zones: &zones,
         bears_zone_loss: true,
     };
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -83,11 +83,11 @@
             heartbeat: gateway.heartbeat,
         });
         let grouping = bounds.unwrap_or_default();
-        let usual_voters = voters_for_losses(settings.seeds.losses_tolerated).max(settings.voters.len());
+        let target_voters = voters_for_losses(settings.seeds.losses_tolerated).max(settings.voters.len());
         let node = ControlNode::voter(&settings.name, found.state, core, addresses).with_options(Options {
             grouping,
             cold_limit: settings.cold_limit(),
-            usual_voters,
+            target_voters,
             bears_zone_loss: settings.seeds.bears_zone_loss,
             leader_leases_up_to: settings.leader_leases_up_to,
             ..Options::default()
