--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -55,7 +55,7 @@
     /// Zones of the voters, as far as known.
     pub zones: &'a ZonesById,
     /// Whether the group has to tolerate the loss of a whole zone.
-    pub bears_zone_loss: bool,
+    pub tolerates_zone_loss: bool,
 }
 
 /// Number of voters needed to keep a majority after `losses` of them fail at once, disks included.
@@ -106,7 +106,7 @@
         VoterSelection {
             group,
             candidates: requests.map(|(id, (address, _))| Voter { id: *id, address: *address }).collect(),
-            balances_zones: group.bears_zone_loss && has_enough_zones(&zones),
+            balances_zones: group.tolerates_zone_loss && has_enough_zones(&zones),
             zones,
             max_voters: group.target_voters.max(GROWTH_LIMIT),
         }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -38,7 +38,7 @@
     /// Number of voters to keep if enough members are available.
     pub target_voters: usize,
     /// Whether to tolerate the loss of a whole zone: then no zone may hold half of the voters.
-    pub bears_zone_loss: bool,
+    pub tolerates_zone_loss: bool,
     /// Number of daemons up to which the leader answers all lease requests itself; with more daemons the
     /// other voters grant leases on its behalf.
     pub leader_leases_up_to: usize,
@@ -53,7 +53,7 @@
             grouping: GroupingPolicy::default(),
             cold_limit: ColdLimit::default(),
             target_voters: voters_for_losses(1),
-            bears_zone_loss: false,
+            tolerates_zone_loss: false,
             leader_leases_up_to: LEADER_LEASES_UP_TO,
         }
     }
--- a/crates/control/src/voter_turn.rs
+++ b/crates/control/src/voter_turn.rs
@@ -89,8 +89,8 @@
         if !self.voter.as_ref().is_some_and(|voter| voter.core.voters_settled()) {
             return;
         }
-        let bears_zone_loss = self.options.bears_zone_loss;
-        let zones = if bears_zone_loss { self.voter_zones() } else { ZonesById::new() };
+        let tolerates_zone_loss = self.options.tolerates_zone_loss;
+        let zones = if tolerates_zone_loss { self.voter_zones() } else { ZonesById::new() };
         let Some(voter) = &mut self.voter else { return };
         let (voters, silent_for) = (voter.known_voters(), voter.core.silent_for(now.monotonic));
         let group = VoterGroup {
@@ -99,7 +99,7 @@
             silent_for: &silent_for,
             target_voters: self.options.target_voters,
             zones: &zones,
-            bears_zone_loss,
+            tolerates_zone_loss,
         };
         let Some(leader_state) = &mut voter.leader_state else { return };
         let next = leader_state.candidates.next_voters(now.monotonic, &group);
--- a/crates/control/src/voter_zones.rs
+++ b/crates/control/src/voter_zones.rs
@@ -109,7 +109,7 @@
 
     /// Records zones that hold too many voters, if the loss of a zone has to be tolerated.
     pub(crate) fn report_zone_balance(&mut self, now: Moment) {
-        if !self.options.bears_zone_loss {
+        if !self.options.tolerates_zone_loss {
             return;
         }
         let counts = self.voters_by_zone();
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -36,7 +36,7 @@
         silent_for: &silent_for,
         target_voters,
         zones: &zones,
-        bears_zone_loss: false,
+        tolerates_zone_loss: false,
     };
     let next = candidates.next_voters(1_000, &group)?;
     Some(next.iter().map(|voter| voter.id).collect())
@@ -104,7 +104,7 @@
         silent_for: &silent_for,
         target_voters: voters_for_losses(1),
         zones: &zones,
-        bears_zone_loss: false,
+        tolerates_zone_loss: false,
     };
     assert_eq!(candidates.next_voters(3_000, &group), None);
 }
--- a/crates/control/tests/voter_view.rs
+++ b/crates/control/tests/voter_view.rs
@@ -54,7 +54,7 @@
     let mut leader = Leader::elected();
     add_leader_daemon(&mut leader);
     assert!(recorded_reasons(&mut leader, 10_000).iter().all(|(_, reason)| reason != "ZoneTooFull"));
-    leader.node = leader.node.with_options(Options { bears_zone_loss: true, ..Options::default() });
+    leader.node = leader.node.with_options(Options { tolerates_zone_loss: true, ..Options::default() });
     let start = leader.now;
     let recorded_reasons = recorded_reasons(&mut leader, 20_000);
     let events: Vec<u64> = recorded_reasons
--- a/crates/control/tests/voter_zones.rs
+++ b/crates/control/tests/voter_zones.rs
@@ -115,7 +115,7 @@
             silent_for: &silent_for,
             target_voters: voters_for_losses(self.losses),
             zones: &self.zones,
-            bears_zone_loss: true,
+            tolerates_zone_loss: true,
         };
         if let Some(next) = self.candidates.next_voters(self.now, &group) {
             self.voters = next;
@@ -240,7 +240,7 @@
         silent_for: &silent_for,
         target_voters: voters_for_losses(losses),
         zones: &zones,
-        bears_zone_loss: true,
+        tolerates_zone_loss: true,
     };
     let next = candidate_requests.next_voters(1_000, &group)?;
     Some(next.iter().map(|voter| voter.id).collect())
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -88,7 +88,7 @@
             grouping,
             cold_limit: settings.cold_limit(),
             target_voters,
-            bears_zone_loss: settings.seeds.bears_zone_loss,
+            tolerates_zone_loss: settings.seeds.bears_zone_loss,
             leader_leases_up_to: settings.leader_leases_up_to,
             ..Options::default()
         });
