--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -124,13 +124,13 @@
 
     /// Handles one input as a turn of its own and returns the outputs in order.
     pub fn step(&mut self, now: Moment, input: Input<R>) -> Vec<Output<R>> {
-        self.take(now, input);
+        self.handle_input(now, input);
         self.settle(now)
     }
 
     /// Handles one input. Everything that follows from it is deferred to [`ControlNode::settle`], so that
     /// inputs that arrive together share one proposal and one run of the controllers.
-    pub fn take(&mut self, now: Moment, input: Input<R>) {
+    pub fn handle_input(&mut self, now: Moment, input: Input<R>) {
         let mut batch = std::mem::take(&mut self.batch);
         self.dispatch(now, input, &mut batch);
         self.batch = batch;
--- a/crates/control/tests/common/group.rs
+++ b/crates/control/tests/common/group.rs
@@ -146,7 +146,7 @@
         let moment = self.moment();
         for voter in 0..self.nodes.len() {
             let Some(node) = &mut self.nodes[voter] else { continue };
-            node.take(moment, Input::Tick);
+            node.handle_input(moment, Input::Tick);
             self.finish_turn(voter);
         }
         self.followers.finish_transfers(self.now);
@@ -191,7 +191,7 @@
             VoterMessage::Delegated { number, answer } => Input::Delegated { number, answer },
             VoterMessage::Submit(command) => Input::Submit(vec![(command, ReplyTo::Nobody)]),
         };
-        node.take(moment, input);
+        node.handle_input(moment, input);
     }
 
     fn finish_turn(&mut self, voter: usize) {
@@ -209,7 +209,7 @@
             }
             let Some((index, term)) = persisted else { return };
             if let Some(node) = &mut self.nodes[voter] {
-                node.take(moment, Input::Persisted { index, term });
+                node.handle_input(moment, Input::Persisted { index, term });
             }
         }
     }
--- a/crates/control/tests/common/leader.rs
+++ b/crates/control/tests/common/leader.rs
@@ -77,7 +77,7 @@
 
     /// Handles an input; the leader decides on it in the next step.
     pub fn handle_input(&mut self, input: Input<String>) {
-        self.node.take(self.moment(), input);
+        self.node.handle_input(self.moment(), input);
     }
 
     pub fn take_answers(&mut self) -> Vec<(String, LeaseAnswer)> {
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -231,7 +231,7 @@
     /// Gives the node one input, which has been worked on since `begun`.
     fn give(&mut self, begun: Instant, input: Input<Reply>) {
         let work = Work::of_input(&input);
-        self.node.take(now(), input);
+        self.node.handle_input(now(), input);
         self.turns.spent(work, begun);
     }
 
