--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -125,10 +125,10 @@
     /// Handles one input as a turn of its own and returns the outputs in order.
     pub fn step(&mut self, now: Moment, input: Input<R>) -> Vec<Output<R>> {
         self.handle_input(now, input);
-        self.settle(now)
+        self.finish_turn(now)
     }
 
-    /// Handles one input. Everything that follows from it is deferred to [`ControlNode::settle`], so that
+    /// Handles one input. Everything that follows from it is deferred to [`ControlNode::finish_turn`], so that
     /// inputs that arrive together share one proposal and one run of the controllers.
     pub fn handle_input(&mut self, now: Moment, input: Input<R>) {
         let mut batch = std::mem::take(&mut self.batch);
@@ -137,7 +137,7 @@
     }
 
     /// Ends a turn: processes the inputs handled so far and returns the outputs in order.
-    pub fn settle(&mut self, now: Moment) -> Vec<Output<R>> {
+    pub fn finish_turn(&mut self, now: Moment) -> Vec<Output<R>> {
         self.step_core(now, consensus::Input::Tick);
         let batch = std::mem::take(&mut self.batch);
         self.propose(now, batch);
--- a/crates/control/tests/common/group.rs
+++ b/crates/control/tests/common/group.rs
@@ -198,7 +198,7 @@
         let moment = self.moment();
         loop {
             let Some(node) = &mut self.nodes[voter] else { return };
-            let outputs = node.settle(moment);
+            let outputs = node.finish_turn(moment);
             let mut persisted = None;
             for output in outputs {
                 if let Output::Persist { entries, .. } = &output {
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -246,7 +246,7 @@
         loop {
             let mut follows = false;
             let begun = Instant::now();
-            let outputs = self.node.settle(now());
+            let outputs = self.node.finish_turn(now());
             self.turns.spent(Work::Decisions, begun);
             for output in outputs {
                 let (work, begun) = (Work::of_output(&output), Instant::now());
