--- a/crates/control/src/input_lag.rs
+++ b/crates/control/src/input_lag.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 
 /// Interval between two pulses.
-pub const PULSE_EVERY_MS: Millis = 100;
+pub const PULSE_INTERVAL_MS: Millis = 100;
 /// A pulse that is later than this is not ordinary jitter: it is a multiple of the usual turn time.
 const MAX_PULSE_DELAY_MS: Millis = 200;
 
@@ -23,14 +23,14 @@
     /// before the first pulse does not count.
     pub fn record_pulse(&mut self, now: Millis) -> Option<Millis> {
         let previous = self.last_pulse_at.replace(now)?;
-        let delay = now.saturating_sub(previous + PULSE_EVERY_MS);
+        let delay = now.saturating_sub(previous + PULSE_INTERVAL_MS);
         (delay > MAX_PULSE_DELAY_MS).then_some(delay)
     }
 
     /// The time up to which silence of others can be judged.
     pub fn observed_until(&self, now: Millis) -> Millis {
         match self.last_pulse_at {
-            Some(last_pulse_at) => now.min(last_pulse_at + PULSE_EVERY_MS + MAX_PULSE_DELAY_MS),
+            Some(last_pulse_at) => now.min(last_pulse_at + PULSE_INTERVAL_MS + MAX_PULSE_DELAY_MS),
             None => now,
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -44,7 +44,7 @@
 pub use driver_io::{GrantedLease, Input, Moment, OrderToSend, Output, StoredSnapshot};
 pub use entry_summary::{DaemonDerived, EntrySummary};
 pub use gateway::{GatewayLeaderState, InstanceProbe, ProbeQuestion};
-pub use input_lag::{InputLag, PULSE_EVERY_MS};
+pub use input_lag::{InputLag, PULSE_INTERVAL_MS};
 pub use leases::{
     FETCH_TIMEOUT_MS, LEASE_ANSWER_TIMEOUT_MS, LEASE_MS, LONG_POLL_MS, LeaseTable, Notification,
 };
