--- a/crates/control/src/driver_io.rs
+++ b/crates/control/src/driver_io.rs
@@ -110,7 +110,7 @@
     /// A request for the revision at which a read is current.
     ReadRevision(R),
     /// A lagging daemon requests a snapshot of the state.
-    CopyState(R),
+    FetchSnapshot(R),
     /// Machines that the platform is about to take away.
     Leaving(BTreeSet<String>),
     /// An earlier [`Output::Persist`] has been synced up to this entry.
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -225,7 +225,7 @@
                 let answer = self.read_revision(now);
                 self.outputs.push(Output::ReadReply(reply, answer));
             }
-            Input::CopyState(reply) => {
+            Input::FetchSnapshot(reply) => {
                 let holds_state = self.board.revision() > 0;
                 let copy = holds_state.then(|| self.snapshot_cache.recent(&self.board).to_vec());
                 self.outputs.push(Output::CopyReply(reply, copy));
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -372,7 +372,7 @@
     Some(match message {
         ControlMessage::Consensus { messages } => Input::Consensus(read_messages(&messages)),
         ControlMessage::Pulse => Input::Pulse,
-        ControlMessage::CopyState { reply } => Input::CopyState(Reply::Copy(reply)),
+        ControlMessage::CopyState { reply } => Input::FetchSnapshot(Reply::Copy(reply)),
         ControlMessage::Lease { request, reply } => Input::Lease(request, Reply::Lease(reply)),
         ControlMessage::Delegate { requests, reply } => Input::Delegate(requests, Reply::Delegation(reply)),
         ControlMessage::Delegated { number, answer } => Input::Delegated { number, answer },
