--- a/crates/control/src/driver_io.rs
+++ b/crates/control/src/driver_io.rs
@@ -192,7 +192,7 @@
     /// Reply to a request for the revision of a current read.
     ReadReply(R, ReadAnswer),
     /// Reply to a daemon that requested a snapshot; `None` if there is no state yet.
-    CopyReply(R, Option<Vec<u8>>),
+    SnapshotReply(R, Option<Vec<u8>>),
     /// Reply to a view request.
     ViewReply(R, ControlAnswer),
     /// Send an order to a machine, and retry until it is carried out or rejected.
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -228,7 +228,7 @@
             Input::FetchSnapshot(reply) => {
                 let holds_state = self.board.revision() > 0;
                 let copy = holds_state.then(|| self.snapshot_cache.recent(&self.board).to_vec());
-                self.outputs.push(Output::CopyReply(reply, copy));
+                self.outputs.push(Output::SnapshotReply(reply, copy));
             }
             Input::Leaving(servers) => self.board.observed.machines.set_leaving(servers),
             Input::Persisted { index, term } => {
--- a/crates/control/tests/catch_up.rs
+++ b/crates/control/tests/catch_up.rs
@@ -243,14 +243,14 @@
     let mut first: ControlNode<()> = ControlNode::follower("first");
     let asked = first.step(Moment::default(), Input::FetchSnapshot(()));
     assert!(
-        asked.iter().any(|output| matches!(output, Output::CopyReply((), None))),
+        asked.iter().any(|output| matches!(output, Output::SnapshotReply((), None))),
         "a daemon without state has no snapshot"
     );
     let lease = GrantedLease { in_force_revision: 0, content: contents[0].1.clone() };
     first.step(Moment::default(), Input::LeaseGranted(lease));
     let copies = first.step(Moment::default(), Input::FetchSnapshot(()));
     let copy = copies.into_iter().find_map(|output| match output {
-        Output::CopyReply((), copy) => copy,
+        Output::SnapshotReply((), copy) => copy,
         _ => None,
     });
     let copy = LeaseContent::Snapshot(copy.expect("the daemon has a snapshot"));
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -286,7 +286,7 @@
             Output::PlaceReply(reply, place) => reply.place(place),
             Output::AdmitReply(reply, answer) => reply.admit(answer),
             Output::ReadReply(reply, answer) => reply.read(answer),
-            Output::CopyReply(reply, copy) => reply.copy(copy),
+            Output::SnapshotReply(reply, copy) => reply.copy(copy),
             Output::AnnounceLeader { to, term } => self.announcer.call(&to, term),
             Output::SendGroupOrder(order) => self.group_orders.send(order),
             Output::Probe(probe) => self.group_orders.probe(probe),
