--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -17,7 +17,7 @@
 use dockwood_api::peer::LeaseAnswer;
 use dockwood_consensus::{Message, Node, NodeId, Payload, Voter};
 use dockwood_control::{
-    ControlNode, GroupingPolicy, Input, Moment, Options, Output, voters_of, voters_to_lose,
+    ControlNode, GroupingPolicy, Input, Moment, Options, Output, voters_for_losses, voters_of,
 };
 use dockwood_storage::StorageError;
 use std::collections::BTreeMap;
@@ -83,12 +83,12 @@
             heartbeat: gateway.heartbeat,
         });
         let grouping = bounds.unwrap_or_default();
-        let usual_voters = voters_to_lose(settings.seeds.losses_tolerated).max(settings.voters.len());
+        let target_voters = voters_for_losses(settings.seeds.losses_tolerated).max(settings.voters.len());
         let node = ControlNode::voter(&settings.name, found.state, core, addresses).with_options(Options {
             grouping,
             cold_limit: settings.cold_limit(),
-            usual_voters,
-            bears_zone_loss: settings.seeds.bears_zone_loss,
+            target_voters,
+            tolerates_zone_loss: settings.seeds.bears_zone_loss,
             leader_leases_up_to: settings.leader_leases_up_to,
             ..Options::default()
         });
@@ -231,7 +231,7 @@
     /// Gives the node one input, which has been worked on since `begun`.
     fn give(&mut self, begun: Instant, input: Input<Reply>) {
         let work = Work::of_input(&input);
-        self.node.take(now(), input);
+        self.node.handle_input(now(), input);
         self.turns.spent(work, begun);
     }
 
@@ -246,7 +246,7 @@
         loop {
             let mut follows = false;
             let begun = Instant::now();
-            let outputs = self.node.settle(now());
+            let outputs = self.node.finish_turn(now());
             self.turns.spent(Work::Decisions, begun);
             for output in outputs {
                 let (work, begun) = (Work::of_output(&output), Instant::now());
@@ -286,7 +286,7 @@
             Output::PlaceReply(reply, place) => reply.place(place),
             Output::AdmitReply(reply, answer) => reply.admit(answer),
             Output::ReadReply(reply, answer) => reply.read(answer),
-            Output::CopyReply(reply, copy) => reply.copy(copy),
+            Output::SnapshotReply(reply, copy) => reply.copy(copy),
             Output::AnnounceLeader { to, term } => self.announcer.call(&to, term),
             Output::SendGroupOrder(order) => self.group_orders.send(order),
             Output::Probe(probe) => self.group_orders.probe(probe),
@@ -299,9 +299,9 @@
             Output::ObserveReply(reply, taken) => reply.observe(taken),
             Output::ViewReply(reply, view) => reply.view(view),
             Output::SendOrder(order) => self.orders.send(*order),
-            Output::Record { account, revision } => {
-                let (subject, code) = (account.subject, account.code);
-                self.shared.timeline.record(subject, &account.reason, &account.message, revision, code);
+            Output::Record { event, revision } => {
+                let (subject, code) = (event.subject, event.code);
+                self.shared.timeline.record(subject, &event.reason, &event.message, revision, code);
             }
             Output::Touched { revision, keys } => {
                 self.shared.metrics.commands_committed.inc();
@@ -372,7 +372,7 @@
     Some(match message {
         ControlMessage::Consensus { messages } => Input::Consensus(read_messages(&messages)),
         ControlMessage::Pulse => Input::Pulse,
-        ControlMessage::CopyState { reply } => Input::CopyState(Reply::Copy(reply)),
+        ControlMessage::CopyState { reply } => Input::FetchSnapshot(Reply::Copy(reply)),
         ControlMessage::Lease { request, reply } => Input::Lease(request, Reply::Lease(reply)),
         ControlMessage::Delegate { requests, reply } => Input::Delegate(requests, Reply::Delegation(reply)),
         ControlMessage::Delegated { number, answer } => Input::Delegated { number, answer },
