--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,30 +1,30 @@
-//! Errors of the data folder; each maps to a numbered result code of the 6000 family.
+//! Storage errors; each maps to a result code in the 6000 range.
 
 use quick_error::quick_error;
 use std::io;
 use std::path::PathBuf;
 
 quick_error! {
-    /// What went wrong, and in which file.
+    /// A storage error, with the file or folder concerned.
     #[derive(Debug)]
     pub enum StorageError {
-        /// Another process holds the lock.
+        /// Another process holds the lock of the data folder.
         Locked(folder: PathBuf) {
             display("data folder {} is in use by another process", folder.display())
         }
-        /// A record before the tail does not match its checksum.
+        /// A record before the tail is corrupt.
         LogDamaged(file: PathBuf, offset: u64, detail: String) {
             display("{} is damaged at byte {}: {}", file.display(), offset, detail)
         }
-        /// The snapshot does not match its checksum.
+        /// The snapshot is truncated or does not match its checksum.
         SnapshotDamaged(file: PathBuf, detail: String) {
             display("snapshot {} is damaged: {}", file.display(), detail)
         }
-        /// The folder was written by a version that this one does not know.
+        /// The data folder has a format version that this program does not support.
         FormatUnknown(file: PathBuf, found: String) {
-            display("{} names format '{}'", file.display(), found)
+            display("{} has unsupported format version '{}'", file.display(), found)
         }
-        /// The disk did not confirm a write; what it holds is unknown from here on.
+        /// A sync failed; from then on it is unknown what the disk holds.
         SyncFailed(file: PathBuf, error: io::Error) {
             display("sync of {} failed: {}", file.display(), error)
         }
@@ -36,7 +36,7 @@
 }
 
 impl StorageError {
-    /// The number of the result code that stands for this error.
+    /// The numeric result code of this error.
     pub fn code_number(&self) -> u16 {
         match self {
             StorageError::Locked(..) => 6001,
@@ -49,20 +49,20 @@
     }
 }
 
-/// Adds the file's path to an error.
-pub(crate) trait WithPath<T> {
-    /// As [`StorageError::Io`].
-    fn at(self, path: &std::path::Path) -> Result<T, StorageError>;
-    /// As [`StorageError::SyncFailed`].
-    fn sync_at(self, path: &std::path::Path) -> Result<T, StorageError>;
+/// Converts I/O errors to storage errors with the path of the file.
+pub(crate) trait IoResultExt<T> {
+    /// Converts an error to [`StorageError::Io`].
+    fn io_error_at(self, path: &std::path::Path) -> Result<T, StorageError>;
+    /// Converts an error to [`StorageError::SyncFailed`].
+    fn sync_error_at(self, path: &std::path::Path) -> Result<T, StorageError>;
 }
 
-impl<T> WithPath<T> for io::Result<T> {
-    fn at(self, path: &std::path::Path) -> Result<T, StorageError> {
+impl<T> IoResultExt<T> for io::Result<T> {
+    fn io_error_at(self, path: &std::path::Path) -> Result<T, StorageError> {
         self.map_err(|error| StorageError::Io(path.to_path_buf(), error))
     }
 
-    fn sync_at(self, path: &std::path::Path) -> Result<T, StorageError> {
+    fn sync_error_at(self, path: &std::path::Path) -> Result<T, StorageError> {
         self.map_err(|error| StorageError::SyncFailed(path.to_path_buf(), error))
     }
 }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,30 +1,30 @@
-//! The data folder: its lock and its format version.
+//! The data folder, its lock and its format version.
 
-use crate::error::{StorageError, WithPath};
+use crate::error::{IoResultExt, StorageError};
 use std::fs::{self, File, TryLockError};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Version of the folder's layout. A newer layout raises it and keeps a reader for this one.
+/// Version of the folder's layout. A new layout increments it, and this one stays readable.
 pub const FORMAT_VERSION: u32 = 1;
 
 const LOCK_FILE: &str = "LOCK";
 const FORMAT_FILE: &str = "FORMAT";
 
-/// A data folder that this process alone uses.
+/// A data folder that is locked by this process.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
-    /// Held for as long as the folder is open; the system drops it when the process ends.
+    /// Held while the folder is open; the operating system releases it when the process ends.
     _lock: File,
 }
 
 impl DataFolder {
-    /// Opens the folder, making it first if need be.
+    /// Opens and locks the folder, creating it if it does not exist.
     pub fn open(path: &Path) -> Result<DataFolder, StorageError> {
-        fs::create_dir_all(path).at(path)?;
+        fs::create_dir_all(path).io_error_at(path)?;
         let lock_path = path.join(LOCK_FILE);
-        let lock = File::options().create(true).append(true).open(&lock_path).at(&lock_path)?;
+        let lock = File::options().create(true).append(true).open(&lock_path).io_error_at(&lock_path)?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(StorageError::Locked(path.to_path_buf())),
@@ -43,28 +43,28 @@
 fn check_format(folder: &Path) -> Result<(), StorageError> {
     let file = folder.join(FORMAT_FILE);
     if !file.exists() {
-        return write_file_durably(&file, FORMAT_VERSION.to_string().as_bytes());
+        return write_file_atomically(&file, FORMAT_VERSION.to_string().as_bytes());
     }
-    let found = fs::read_to_string(&file).at(&file)?;
+    let found = fs::read_to_string(&file).io_error_at(&file)?;
     if found.trim() == FORMAT_VERSION.to_string() {
         return Ok(());
     }
     Err(StorageError::FormatUnknown(file, found.trim().to_string()))
 }
 
-/// Writes a file so that after a crash either the old or the new content is there: write aside, sync, rename,
-/// sync the folder.
-pub(crate) fn write_file_durably(path: &Path, content: &[u8]) -> Result<(), StorageError> {
-    let aside = path.with_extension("tmp");
-    let mut file = File::create(&aside).at(&aside)?;
-    file.write_all(content).at(&aside)?;
-    file.sync_all().sync_at(&aside)?;
-    fs::rename(&aside, path).at(path)?;
+/// Replaces a file atomically and durably, so that after a crash it has either the old or the new content: writes a
+/// temporary file, syncs it, renames it and syncs the folder.
+pub(crate) fn write_file_atomically(path: &Path, content: &[u8]) -> Result<(), StorageError> {
+    let temporary = path.with_extension("tmp");
+    let mut file = File::create(&temporary).io_error_at(&temporary)?;
+    file.write_all(content).io_error_at(&temporary)?;
+    file.sync_all().sync_error_at(&temporary)?;
+    fs::rename(&temporary, path).io_error_at(path)?;
     sync_parent(path)
 }
 
-/// Syncs the folder that holds `path`, so that the name itself survives.
+/// Syncs the parent folder of `path`, so that the directory entry survives a crash.
 pub(crate) fn sync_parent(path: &Path) -> Result<(), StorageError> {
     let parent = path.parent().unwrap_or(Path::new("."));
-    File::open(parent).at(parent)?.sync_all().sync_at(parent)
+    File::open(parent).io_error_at(parent)?.sync_all().sync_error_at(parent)
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,9 @@
-//! Durable storage of one node: a log in segments and a snapshot, under one data folder.
+//! Durable storage of one node: a segmented log, a snapshot and the node's identity, in one data folder.
 //!
 //! Records are opaque bytes with a length and a checksum. A torn tail, which a crash during a write leaves, is
-//! cut; damage before the tail stops the process with a numbered error, since what follows may have been
-//! acknowledged. Nothing counts as stored before it is synced, and a failed sync is final.
-//! What records mean is the caller's business.
+//! truncated. Corruption before the tail is reported as an error with a result code, and the process must stop, since
+//! the records that follow may have been acknowledged. Data counts as stored only once it is synced, and a
+//! failed sync is final.
 
 mod error;
 mod folder;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,20 +1,20 @@
-//! The log: numbered segments, of which only the newest is written to.
+//! The log: numbered segment files, of which only the newest is appended to.
 
-use crate::error::{StorageError, WithPath};
+use crate::error::{IoResultExt, StorageError};
 use crate::folder::{DataFolder, sync_parent};
-use crate::segment::{frame, read_segment};
+use crate::segment::{encode_record, read_segment};
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
 const SEGMENT_SUFFIX: &str = "segment";
 
-/// Sizes of the log on disk.
+/// Size of the log on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogStats {
-    /// Segment files.
+    /// Number of segment files.
     pub segments: usize,
-    /// Bytes in all segments.
+    /// Total bytes in all segments.
     pub bytes: u64,
 }
 
@@ -22,23 +22,24 @@
 #[derive(Debug)]
 pub struct RecordLog {
     folder: PathBuf,
-    number: u64,
+    segment_number: u64,
     file: File,
     stats: LogStats,
 }
 
 impl RecordLog {
-    /// Opens the log and returns every record in the order written. A torn tail is cut and synced away.
+    /// Opens the log and returns all records in the order they were written. A torn tail is truncated, and the truncation
+    /// is synced.
     pub fn open(folder: &DataFolder) -> Result<(RecordLog, Vec<Vec<u8>>), StorageError> {
         let numbers = segment_numbers(folder.path())?;
         let mut records = Vec::new();
         let mut bytes = 0;
         for (position, number) in numbers.iter().enumerate() {
             let path = segment_path(folder.path(), *number);
-            let is_tail = position + 1 == numbers.len();
-            let content = read_segment(&path, is_tail)?;
+            let is_newest = position + 1 == numbers.len();
+            let content = read_segment(&path, is_newest)?;
             if content.valid_bytes < content.file_bytes {
-                cut(&path, content.valid_bytes)?;
+                truncate_file(&path, content.valid_bytes)?;
             }
             bytes += content.valid_bytes;
             records.extend(content.records);
@@ -46,39 +47,39 @@
         let number = numbers.last().copied().unwrap_or(1);
         let file = open_for_append(folder.path(), number)?;
         let stats = LogStats { segments: numbers.len().max(1), bytes };
-        Ok((RecordLog { folder: folder.path().to_path_buf(), number, file, stats }, records))
+        Ok((RecordLog { folder: folder.path().to_path_buf(), segment_number: number, file, stats }, records))
     }
 
-    /// Appends records and syncs them; when this returns, they survive.
+    /// Appends and syncs records; they are durable once this returns.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let mut buffer = Vec::new();
         for record in records {
-            frame(record, &mut buffer);
+            encode_record(record, &mut buffer);
         }
-        let path = segment_path(&self.folder, self.number);
-        self.file.write_all(&buffer).at(&path)?;
-        self.file.sync_data().sync_at(&path)?;
+        let path = segment_path(&self.folder, self.segment_number);
+        self.file.write_all(&buffer).io_error_at(&path)?;
+        self.file.sync_data().sync_error_at(&path)?;
         self.stats.bytes += buffer.len() as u64;
         Ok(())
     }
 
-    /// Starts a new segment with `records`, syncs it, and deletes all older ones: for use once a snapshot
-    /// covers what they held. A crash in between leaves both, and reading both gives the same result as long
-    /// as `records` repeat what still counts.
+    /// Starts a new segment with `records`, syncs it, and deletes all older segments; used once a snapshot covers their
+    /// records. A crash in between leaves old and new segments, and reading both gives the same result as long as
+    /// `records` repeat all records that are still needed.
     pub fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let old_numbers = segment_numbers(&self.folder)?;
-        self.number += 1;
-        self.file = open_for_append(&self.folder, self.number)?;
+        self.segment_number += 1;
+        self.file = open_for_append(&self.folder, self.segment_number)?;
         self.stats = LogStats { segments: 1, bytes: 0 };
         self.append(records)?;
         for number in old_numbers {
             let path = segment_path(&self.folder, number);
-            fs::remove_file(&path).at(&path)?;
+            fs::remove_file(&path).io_error_at(&path)?;
         }
-        sync_parent(&segment_path(&self.folder, self.number))
+        sync_parent(&segment_path(&self.folder, self.segment_number))
     }
 
-    /// Sizes on disk.
+    /// The size of the log on disk.
     pub fn stats(&self) -> LogStats {
         self.stats
     }
@@ -90,8 +91,8 @@
 
 fn segment_numbers(folder: &Path) -> Result<Vec<u64>, StorageError> {
     let mut numbers = Vec::new();
-    for entry in fs::read_dir(folder).at(folder)? {
-        let path = entry.at(folder)?.path();
+    for entry in fs::read_dir(folder).io_error_at(folder)? {
+        let path = entry.io_error_at(folder)?.path();
         if path.extension().is_some_and(|suffix| suffix == SEGMENT_SUFFIX)
             && let Some(number) =
                 path.file_stem().and_then(|stem| stem.to_str()).and_then(|stem| stem.parse().ok())
@@ -105,14 +106,14 @@
 
 fn open_for_append(folder: &Path, number: u64) -> Result<File, StorageError> {
     let path = segment_path(folder, number);
-    let file = File::options().create(true).append(true).open(&path).at(&path)?;
-    file.sync_all().sync_at(&path)?;
+    let file = File::options().create(true).append(true).open(&path).io_error_at(&path)?;
+    file.sync_all().sync_error_at(&path)?;
     sync_parent(&path)?;
     Ok(file)
 }
 
-fn cut(path: &Path, length: u64) -> Result<(), StorageError> {
-    let file = File::options().write(true).open(path).at(path)?;
-    file.set_len(length).at(path)?;
-    file.sync_all().sync_at(path)
+fn truncate_file(path: &Path, length: u64) -> Result<(), StorageError> {
+    let file = File::options().write(true).open(path).io_error_at(path)?;
+    file.set_len(length).io_error_at(path)?;
+    file.sync_all().sync_error_at(path)
 }
