--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the checks that keep two leaders out of one term.
+//! Elections: pre-vote, vote, and the checks that prevent two leaders in one term.
 
 use crate::message::Body;
 use crate::node::{Node, Role};
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 impl Node {
-    /// Starts a pre-vote (`binding` false) or, once that is won, the vote. A pre-vote changes no term, so a
-    /// node that was cut off can't disturb the group when it returns.
+    /// Starts a pre-vote (`binding` false) or, once that is won, the election. A pre-vote does not increment the term, so
+    /// a node that was partitioned away can't disrupt the group when it rejoins.
     pub(crate) fn campaign(&mut self, now: Millis, binding: bool) {
         if binding {
             let term = self.hard_state.term + 1;
@@ -20,11 +20,11 @@
         if binding {
             self.reset_election_timer(now);
         } else {
-            self.ask_again_soon(now);
+            self.schedule_pre_vote_retry(now);
         }
         self.announce_role();
         if self.membership.quorum() == 1 {
-            self.election_won(now, binding);
+            self.handle_election_won(now, binding);
             return;
         }
         let campaign_term = self.hard_state.term + u64::from(!binding);
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(crate) fn answer_vote(
+    pub(crate) fn handle_vote_request(
         &mut self,
         now: Millis,
         from: NodeId,
@@ -43,16 +43,16 @@
         last_index: LogIndex,
         last_term: Term,
     ) {
-        let log_is_current = (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
+        let log_is_up_to_date = (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
         if !binding {
-            let granted = term > self.hard_state.term && log_is_current;
+            let granted = term > self.hard_state.term && log_is_up_to_date;
             let reply_term = if granted { term } else { self.hard_state.term };
             self.send_in_term(from, reply_term, Body::VoteReply { binding, granted });
             return;
         }
         let may_vote =
             term == self.hard_state.term && self.hard_state.voted_for.is_none_or(|voted| voted == from);
-        let granted = may_vote && log_is_current;
+        let granted = may_vote && log_is_up_to_date;
         if granted && self.hard_state.voted_for.is_none() {
             self.hard_state.voted_for = Some(from);
             self.persist(true, Vec::new());
@@ -61,7 +61,14 @@
         self.send(from, Body::VoteReply { binding, granted });
     }
 
-    pub(crate) fn count_vote(&mut self, now: Millis, from: NodeId, term: Term, binding: bool, granted: bool) {
+    pub(crate) fn handle_vote_reply(
+        &mut self,
+        now: Millis,
+        from: NodeId,
+        term: Term,
+        binding: bool,
+        granted: bool,
+    ) {
         let expected_term = self.hard_state.term + u64::from(!binding);
         let quorum = self.membership.quorum();
         let Role::Candidate { binding: own_binding, votes } = &mut self.role else { return };
@@ -70,11 +77,11 @@
         }
         votes.insert(from);
         if votes.len() >= quorum {
-            self.election_won(now, binding);
+            self.handle_election_won(now, binding);
         }
     }
 
-    fn election_won(&mut self, now: Millis, binding: bool) {
+    fn handle_election_won(&mut self, now: Millis, binding: bool) {
         if !binding {
             self.campaign(now, true);
             return;
@@ -82,7 +89,8 @@
         self.leader = Some(self.settings.id);
         self.role = Role::Leader(LeaderState::new(&self.peers(), self.log.last_index(), now));
         self.announce_role();
-        // A leader may count replicas of its own term only; this entry commits what earlier terms left.
+        // A leader may commit only entries of its own term by counting replicas; committing this entry also commits those
+        // of earlier terms.
         let entry = self.log.append(self.hard_state.term, Payload::Empty);
         self.persist(false, vec![entry]);
         self.broadcast(now);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,8 +1,8 @@
 //! The consensus core: Raft with pre-vote, check-quorum, leader lease and read index, as a pure state machine.
 //!
-//! A driver feeds [`Input`]s with the current time to [`Node::step`] and carries out the [`Output`]s in order.
-//! There is no I/O, no clock and no thread here, so the same code runs in a daemon and in the simulator.
-//! It does not know what commands mean, and it does not store snapshots: the driver does.
+//! A driver passes [`Input`]s with the current time to [`Node::step`] and executes the returned [`Output`]s in order.
+//! The crate performs no I/O, reads no clock and starts no threads, so the same code runs in a daemon and in the
+//! simulator. Commands are opaque to it, and the driver stores the snapshots.
 //!
 //! Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, and
 //! Ongaro's dissertation for pre-vote (9.6), check-quorum (6.2) and read index (6.4).
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,8 +1,8 @@
-//! The part of the log that is kept in memory: all entries after the snapshot.
+//! The in-memory part of the log: all entries after the snapshot.
 
 use crate::types::{Entry, LogIndex, Payload, Recovered, Term};
 
-/// Entries after a snapshot, without gaps.
+/// Contiguous entries after a snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct EntryLog {
     snapshot_index: LogIndex,
@@ -11,8 +11,8 @@
 }
 
 impl EntryLog {
-    /// The log as it was read from disk.
-    pub fn recovered(recovered: &Recovered) -> Self {
+    /// Builds the log from what was read from disk.
+    pub fn from_recovered(recovered: &Recovered) -> Self {
         EntryLog {
             snapshot_index: recovered.snapshot_index,
             snapshot_term: recovered.snapshot_term,
@@ -30,12 +30,12 @@
         self.entries.last().map_or(self.snapshot_term, |entry| entry.term)
     }
 
-    /// The last index that the snapshot covers.
+    /// Index of the last entry that the snapshot covers.
     pub fn snapshot_index(&self) -> LogIndex {
         self.snapshot_index
     }
 
-    /// Term of the entry at `index`, if the log still knows it.
+    /// Term of the entry at `index`, if it is in memory or the last one that the snapshot covers.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot_index {
             return Some(self.snapshot_term);
@@ -48,59 +48,59 @@
         (position < self.entries.len()).then_some(position)
     }
 
-    /// Appends a leader's own entry and returns it.
+    /// Appends an entry on the leader and returns it.
     pub fn append(&mut self, term: Term, payload: Payload) -> Entry {
         let entry = Entry { index: self.last_index() + 1, term, payload };
         self.entries.push(entry.clone());
         entry
     }
 
-    /// Takes a leader's entries, dropping own entries from the first conflict on. Returns the entries that
-    /// are new here and must be persisted. Entries that match are left alone: a late, shorter message must
-    /// not cut what a newer one appended.
+    /// Appends a leader's entries on a follower, truncating its own log at the first conflict. Returns the new entries,
+    /// which must be persisted. Matching entries are kept: a delayed, shorter message must not truncate what a newer
+    /// one appended.
     pub fn merge(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
-        let mut fresh = Vec::new();
+        let mut appended = Vec::new();
         for entry in entries {
             if entry.index <= self.snapshot_index {
                 continue;
             }
-            if fresh.is_empty() && self.term_at(entry.index) == Some(entry.term) {
+            if appended.is_empty() && self.term_at(entry.index) == Some(entry.term) {
                 continue;
             }
             if let Some(position) = self.position(entry.index) {
                 self.entries.truncate(position);
             }
             self.entries.push(entry.clone());
-            fresh.push(entry);
+            appended.push(entry);
         }
-        fresh
+        appended
     }
 
-    /// Entries of `from..=to` that are in memory, up to about `max_bytes` of payload but at least one.
+    /// Entries of `from..=to` that are in memory, limited to about `max_bytes` of payload but at least one.
     pub fn slice(&self, from: LogIndex, to: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let Some(start) = self.position(from) else { return Vec::new() };
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         for entry in &self.entries[start..] {
-            if entry.index > to || (bytes >= max_bytes && !taken.is_empty()) {
+            if entry.index > to || (bytes >= max_bytes && !selected.is_empty()) {
                 break;
             }
             bytes += entry.payload_bytes();
-            taken.push(entry.clone());
+            selected.push(entry.clone());
         }
-        taken
+        selected
     }
 
-    /// Drops entries up to `index`, which a snapshot covers.
+    /// Removes the entries up to `index`, which a snapshot covers.
     pub fn compact(&mut self, index: LogIndex) {
         let Some(term) = self.term_at(index) else { return };
-        let dropped = (index - self.snapshot_index) as usize;
-        self.entries.drain(..dropped);
+        let count = (index - self.snapshot_index) as usize;
+        self.entries.drain(..count);
         self.snapshot_index = index;
         self.snapshot_term = term;
     }
 
-    /// Forgets everything for a snapshot from the leader.
+    /// Replaces the whole log by a snapshot from the leader.
     pub fn reset(&mut self, index: LogIndex, term: Term) {
         self.entries.clear();
         self.snapshot_index = index;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,15 +1,15 @@
-//! Who votes: the newest voters entry of the log holds from the moment it is appended, committed or not, as the
-//! Raft dissertation has it. One voter is added or removed at a time, so that any majority of the old voters and
-//! any majority of the new ones share a node.
+//! Cluster membership: the newest voters entry of the log is in effect from the moment it is appended, committed or
+//! not, as in the Raft dissertation. One voter is added or removed at a time, so that any majority of the old voters
+//! and any majority of the new ones overlap.
 
 use crate::types::{LogIndex, NodeId, Voter};
 
-/// The voters by the log.
+/// The voters according to the log.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Membership {
-    /// By the snapshot, or as the group began.
+    /// Voters according to the snapshot, or the initial voters of the group.
     base: Vec<NodeId>,
-    /// Entries after the snapshot that changed them.
+    /// Index and voters of each voters entry after the snapshot.
     changes: Vec<(LogIndex, Vec<NodeId>)>,
 }
 
@@ -22,7 +22,7 @@
         Membership { base, changes: Vec::new() }
     }
 
-    /// The voters that count now.
+    /// The voters in effect.
     pub fn voters(&self) -> &[NodeId] {
         self.changes.last().map_or(&self.base, |(_, voters)| voters)
     }
@@ -31,35 +31,35 @@
         self.voters().contains(&id)
     }
 
-    /// Votes or acknowledgements that make a majority.
+    /// Number of votes or acknowledgements that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().len() / 2 + 1
     }
 
-    /// An entry was appended.
-    pub fn appended(&mut self, index: LogIndex, voters: &[Voter]) {
+    /// Records a voters entry that was appended.
+    pub fn record_append(&mut self, index: LogIndex, voters: &[Voter]) {
         self.changes.push((index, ids(voters)));
     }
 
-    /// Entries from `index` on were dropped.
-    pub fn truncated(&mut self, index: LogIndex) {
+    /// Discards the changes of entries from `index` on, which were truncated.
+    pub fn truncate_from(&mut self, index: LogIndex) {
         self.changes.retain(|(changed_at, _)| *changed_at < index);
     }
 
-    /// Entries up to `index` are covered by a snapshot.
-    pub fn compacted(&mut self, index: LogIndex) {
+    /// Merges the changes of entries up to `index`, which a snapshot covers, into the base.
+    pub fn compact_to(&mut self, index: LogIndex) {
         while self.changes.first().is_some_and(|(changed_at, _)| *changed_at <= index) {
             self.base = self.changes.remove(0).1;
         }
     }
 
-    /// A snapshot replaced the log.
-    pub fn replaced(&mut self, voters: &[Voter]) {
+    /// Replaces all voters by those of a snapshot that replaced the log.
+    pub fn reset(&mut self, voters: &[Voter]) {
         *self = Membership::new(ids(voters));
     }
 
     /// Index of the newest change, 0 if the snapshot covers it.
-    pub fn last_change(&self) -> LogIndex {
+    pub fn last_change_index(&self) -> LogIndex {
         self.changes.last().map_or(0, |(index, _)| *index)
     }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,23 +1,23 @@
-//! Messages between the nodes of a group.
+//! Messages between the nodes of a Raft group.
 
 use crate::types::{Entry, LogIndex, Millis, NodeId, Term};
 use serde::{Deserialize, Serialize};
 
-/// A message with its sender's term.
+/// A message with its routing and its sender's term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Sender.
+    /// Id of the sender.
     pub from: NodeId,
-    /// Receiver.
+    /// Id of the receiver.
     pub to: NodeId,
-    /// The sender's term, or for a pre-vote the term it would campaign in.
+    /// The sender's term; for a pre-vote, the term in which it would campaign.
     pub term: Term,
     /// Content.
     pub body: Body,
 }
 
 impl Message {
-    /// Size of what it carries, in bytes, for bounding what is sent together.
+    /// Size of the payload in bytes, used to limit how much is sent in one batch.
     pub fn payload_bytes(&self) -> usize {
         match &self.body {
             Body::Append { entries, .. } => entries.iter().map(Entry::payload_bytes).sum(),
@@ -30,62 +30,62 @@
 /// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote would be granted, or (when `binding`) for the vote itself.
+    /// Requests a pre-vote, or the vote itself if `binding`.
     VoteRequest {
-        /// False for a pre-vote, which changes no state at the receiver.
+        /// False for a pre-vote, which changes no state on the receiver.
         binding: bool,
-        /// The sender's last index.
+        /// Index of the last entry in the sender's log.
         last_index: LogIndex,
         /// Term of that entry.
         last_term: Term,
     },
-    /// Answer to a vote request.
+    /// Reply to a vote request.
     VoteReply {
-        /// Repeats the request's.
+        /// Copied from the request.
         binding: bool,
-        /// The vote.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Replicates entries; a heartbeat carries none.
     Append {
-        /// Index before the first entry.
+        /// Index of the entry that precedes `entries`.
         previous_index: LogIndex,
-        /// Term of the entry there.
+        /// Term of that preceding entry.
         previous_term: Term,
-        /// What to append.
+        /// Entries to append.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: LogIndex,
-        /// Echoed by the reply.
+        /// Echoed in the reply.
         probe: Probe,
     },
-    /// Answer to an append or a snapshot.
+    /// Reply to an append or a snapshot.
     AppendReply {
         /// Whether the log matched at `previous_index`.
         matched: bool,
-        /// If matched, the last index known to match; else where to try next.
+        /// If matched, the last index known to match; otherwise the index after which the leader should retry.
         index: LogIndex,
-        /// From the append.
+        /// Copied from the message that is answered.
         probe: Probe,
     },
-    /// A whole snapshot, for a follower that lacks compacted entries.
+    /// A complete snapshot, for a follower that needs compacted entries.
     Snapshot {
-        /// Last index covered.
+        /// Index of the last entry that the snapshot covers.
         index: LogIndex,
         /// Term of that entry.
         term: Term,
-        /// The snapshot.
+        /// Content of the snapshot.
         data: Vec<u8>,
-        /// Echoed by the reply.
+        /// Echoed in the reply.
         probe: Probe,
     },
 }
 
-/// Lets a leader tell which of its messages a reply answers.
+/// Identifies the message that a reply answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Grows with each round of messages; confirms reads.
+    /// Incremented with each broadcast; confirms reads.
     pub round: u64,
-    /// The leader's clock when it sent the message; extends its lease.
+    /// The leader's clock when it sent the message; a reply extends its lease from this time.
     pub sent_at: Millis,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, the dispatch of inputs, and what all parts share.
+//! The node: its state, the dispatch of inputs, and helpers shared by elections and replication.
 
 use crate::log::EntryLog;
 use crate::membership::Membership;
@@ -10,7 +10,7 @@
 };
 use std::collections::BTreeSet;
 
-/// The part a node plays, with the state that only this part has.
+/// The role of a node, with the state specific to that role.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
     Follower,
@@ -22,7 +22,7 @@
     Leader(LeaderState),
 }
 
-/// One voter of a group.
+/// A node of a Raft group.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub(crate) settings: Settings,
@@ -31,9 +31,9 @@
     pub(crate) log: EntryLog,
     pub(crate) membership: Membership,
     pub(crate) commit: LogIndex,
-    /// Entries up to here were handed out by [`Output::Commit`].
-    handed_out: LogIndex,
-    /// Own entries up to here are synced.
+    /// Entries up to here were emitted by [`Output::Commit`].
+    delivered: LogIndex,
+    /// Entries up to here are synced to this node's disk.
     pub(crate) persisted: LogIndex,
     pub(crate) leader: Option<NodeId>,
     pub(crate) last_leader_contact: Option<Millis>,
@@ -43,10 +43,10 @@
 }
 
 impl Node {
-    /// A follower with what was read from disk. A node that starts anew holds back its vote for one election
-    /// time-out, as it may have acknowledged a leader just before it stopped.
+    /// Creates a follower from what was read from disk. A restarted node withholds its vote for one election timeout, as
+    /// it may have acknowledged a leader just before it stopped.
     pub fn new(settings: Settings, recovered: Recovered, now: Millis) -> Self {
-        let log = EntryLog::recovered(&recovered);
+        let log = EntryLog::from_recovered(&recovered);
         let membership = recovered_membership(&settings, &recovered);
         let random_state = settings.seed ^ settings.id.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let restarted = log.last_index() > 0;
@@ -54,7 +54,7 @@
             hard_state: recovered.hard_state,
             role: Role::Follower,
             commit: log.snapshot_index(),
-            handed_out: log.snapshot_index(),
+            delivered: log.snapshot_index(),
             persisted: log.last_index(),
             leader: None,
             last_leader_contact: restarted.then_some(now),
@@ -72,32 +72,32 @@
         node
     }
 
-    /// Takes one input and returns what is to be done, in order.
+    /// Processes one input and returns the outputs to execute, in order.
     pub fn step(&mut self, now: Millis, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
             Input::Receive(message) => self.receive(now, message),
             Input::Propose(commands) => self.propose(now, commands),
             Input::ChangeVoters(voters) => self.change_voters(now, voters),
-            Input::Persisted { index, term } => self.entries_persisted(index, term),
-            Input::Read { id } => self.read(now, id),
+            Input::Persisted { index, term } => self.handle_persisted(index, term),
+            Input::Read { id } => self.handle_read(now, id),
             Input::Compact { index } => {
-                let index = index.min(self.handed_out);
+                let index = index.min(self.delivered);
                 self.log.compact(index);
-                self.membership.compacted(index);
+                self.membership.compact_to(index);
             }
             Input::SnapshotLoaded { to, index, term, data } => self.send_snapshot(now, to, index, term, data),
         }
-        self.hand_out_committed();
+        self.deliver_committed();
         std::mem::take(&mut self.outputs)
     }
 
-    /// This node.
+    /// Id of this node.
     pub fn id(&self) -> NodeId {
         self.settings.id
     }
 
-    /// The node's part.
+    /// The current role.
     pub fn role(&self) -> RoleName {
         match self.role {
             Role::Follower => RoleName::Follower,
@@ -111,7 +111,7 @@
         self.hard_state.term
     }
 
-    /// The leader of the current term, where known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
@@ -126,32 +126,32 @@
         self.log.last_index()
     }
 
-    /// Term of the entry at `index`, if still known.
+    /// Term of the entry at `index`, if still known after compaction.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         self.log.term_at(index)
     }
 
-    /// Ids of the voters that count now, by the newest entry of the log.
+    /// Ids of the voters in effect, according to the newest voters entry of the log.
     pub fn voters(&self) -> &[NodeId] {
         self.membership.voters()
     }
 
-    /// Whether the newest change of voters is committed.
+    /// Whether the newest membership change is committed.
     pub fn voters_settled(&self) -> bool {
-        self.membership.last_change() <= self.commit
+        self.membership.last_change_index() <= self.commit
     }
 
-    /// Takes the voters that a restored snapshot names.
+    /// Sets the voters to those recorded in a restored snapshot.
     pub fn restore_voters(&mut self, voters: &[Voter]) {
-        self.membership.replaced(voters);
+        self.membership.reset(voters);
     }
 
-    /// What must survive a restart besides the log.
+    /// Persistent state besides the log.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// The last index that the snapshot covers.
+    /// Index of the last entry that the snapshot covers.
     pub fn snapshot_index(&self) -> LogIndex {
         self.log.snapshot_index()
     }
@@ -170,7 +170,7 @@
     fn tick(&mut self, now: Millis) {
         match &self.role {
             Role::Leader(_) => self.leader_tick(now),
-            // A node that is no voter waits to be admitted.
+            // A node that is not a voter waits to be added.
             _ if now >= self.election_due && self.membership.contains(self.settings.id) => {
                 self.campaign(now, false);
             }
@@ -179,11 +179,11 @@
     }
 
     fn receive(&mut self, now: Millis, message: Message) {
-        // Requests count whoever sent them: this node may lack the entry that made the sender a voter.
+        // Vote requests are accepted from any sender: this node may lack the entry that made the sender a voter.
         if message.to != self.settings.id {
             return;
         }
-        if self.is_sticky_against(now, &message) {
+        if self.ignores_vote_request(now, &message) {
             return;
         }
         if message.term > self.hard_state.term && !is_pre_vote(&message.body) {
@@ -192,35 +192,35 @@
         let from = message.from;
         match message.body {
             Body::VoteRequest { binding, last_index, last_term } => {
-                self.answer_vote(now, from, message.term, binding, last_index, last_term);
+                self.handle_vote_request(now, from, message.term, binding, last_index, last_term);
             }
             Body::VoteReply { binding, granted } if self.membership.contains(from) => {
-                self.count_vote(now, from, message.term, binding, granted)
+                self.handle_vote_reply(now, from, message.term, binding, granted)
             }
             Body::VoteReply { .. } => {}
             Body::Append { previous_index, previous_term, entries, commit, probe } => {
                 if self.accept_leader(now, from, message.term) {
-                    self.append_entries(from, previous_index, previous_term, entries, commit, probe);
+                    self.handle_append(from, previous_index, previous_term, entries, commit, probe);
                 } else {
                     self.reject_append(from, probe);
                 }
             }
             Body::AppendReply { matched, index, probe } => {
                 if message.term == self.hard_state.term {
-                    self.append_replied(now, from, matched, index, probe);
+                    self.handle_append_reply(now, from, matched, index, probe);
                 }
             }
             Body::Snapshot { index, term, data, probe } => {
                 if self.accept_leader(now, from, message.term) {
-                    self.restore_snapshot(from, index, term, data, probe);
+                    self.handle_snapshot(from, index, term, data, probe);
                 }
             }
         }
     }
 
-    /// A vote request within one election time-out of a live leader is passed over, whatever its term: that is
-    /// what a leader's lease rests on.
-    fn is_sticky_against(&self, now: Millis, message: &Message) -> bool {
+    /// Whether to ignore a message because it is a vote request within one election timeout of hearing from a live leader,
+    /// or during this node's own lease. The term does not matter: leader leases depend on this rule.
+    fn ignores_vote_request(&self, now: Millis, message: &Message) -> bool {
         let is_request = matches!(message.body, Body::VoteRequest { .. });
         let heard_recently =
             self.last_leader_contact.is_some_and(|at| now < at + self.settings.election_timeout_ms);
@@ -280,15 +280,16 @@
         self.election_due = now + timeout + jitter;
     }
 
-    /// Pre-votes that are held back are passed over without a word, and given one election time-out after a leader was
-    /// heard, or after a start. As they change no term they can be asked for again soon: after one to two heartbeats.
-    pub(crate) fn ask_again_soon(&mut self, now: Millis) {
-        let pause = self.settings.heartbeat_ms.max(1);
-        let jitter = self.next_random() % pause;
-        self.election_due = now + pause + jitter;
+    /// Schedules a repetition of the pre-vote after one to two heartbeat intervals. Voters silently ignore pre-vote requests
+    /// for one election timeout after hearing from a leader or restarting; as pre-votes change no term, they can be
+    /// repeated soon.
+    pub(crate) fn schedule_pre_vote_retry(&mut self, now: Millis) {
+        let interval = self.settings.heartbeat_ms.max(1);
+        let jitter = self.next_random() % interval;
+        self.election_due = now + interval + jitter;
     }
 
-    /// Splitmix64 over the driver's seed.
+    /// SplitMix64, seeded by the driver.
     fn next_random(&mut self) -> u64 {
         self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.random_state;
@@ -299,29 +300,29 @@
 
     pub(crate) fn mark_restored(&mut self, index: LogIndex) {
         self.commit = index;
-        self.handed_out = index;
+        self.delivered = index;
         self.persisted = index;
     }
 
-    fn hand_out_committed(&mut self) {
-        if self.handed_out >= self.commit {
+    fn deliver_committed(&mut self) {
+        if self.delivered >= self.commit {
             return;
         }
-        let entries = self.log.slice(self.handed_out + 1, self.commit, usize::MAX);
-        self.handed_out = self.commit;
+        let entries = self.log.slice(self.delivered + 1, self.commit, usize::MAX);
+        self.delivered = self.commit;
         self.outputs.push(Output::Commit(entries));
     }
 }
 
-/// The voters by the snapshot, or by the settings, and then by the entries after it.
+/// The voters according to the snapshot, or else the settings, updated by the entries after the snapshot.
 fn recovered_membership(settings: &Settings, recovered: &Recovered) -> Membership {
     let mut membership = Membership::new(settings.voters.clone());
     if let Some(voters) = &recovered.voters {
-        membership.replaced(voters);
+        membership.reset(voters);
     }
     for entry in &recovered.entries {
         if let Payload::Voters(voters) = &entry.payload {
-            membership.appended(entry.index, voters);
+            membership.record_append(entry.index, voters);
         }
     }
     membership
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,53 +1,53 @@
-//! Replication: appending, acknowledging, committing, reads and the leader's lease.
+//! Replication: appends and acknowledgements, commitment, linearizable reads and the leader's lease.
 
 use crate::message::{Body, Probe};
 use crate::node::{Node, Role};
 use crate::types::{Entry, LogIndex, Millis, NodeId, Output, Payload, Term, Voter};
 use std::collections::BTreeMap;
 
-/// The lease is this share of the election time-out, in percent: the rest allows for clocks that drift.
+/// Duration of the leader's lease as a percentage of the election timeout; the rest is a margin for clock drift.
 const LEASE_PERCENT: Millis = 80;
 
-/// What a leader knows of one follower.
+/// A leader's view of one follower.
 #[derive(Clone, Debug)]
 struct Progress {
-    /// The next entry to send; runs ahead of `matched` while messages are in flight.
-    next: LogIndex,
-    matched: LogIndex,
+    /// Index of the next entry to send; ahead of `match_index` while messages are in flight.
+    next_index: LogIndex,
+    match_index: LogIndex,
     acknowledged: Probe,
-    /// When this leader began to send to it.
-    began_at: Millis,
-    /// What was last sent again because the follower lacked some entries. A follower that was cut off rejects every
-    /// message that has waited for it, and must not be sent everything again for each: of the same round or an earlier
-    /// one, only a rejection that asks for earlier entries still counts.
-    resent: Resent,
-    /// A snapshot is under way; nothing else is sent until it is answered or this time has come.
-    snapshot_until: Option<Millis>,
+    /// When this leader started to replicate to the follower.
+    started_at: Millis,
+    /// The last retransmission of entries that the follower lacked. After a partition a follower rejects every message
+    /// that was queued for it, and its entries must not be sent again for each of them: of rejections of the same round
+    /// or an earlier one, only those that request earlier entries cause another retransmission.
+    retransmission: Retransmission,
+    /// Set while a snapshot is in flight; nothing else is sent until it is acknowledged or this time is reached.
+    snapshot_deadline: Option<Millis>,
 }
 
-/// Entries that were sent again.
+/// A retransmission of entries.
 #[derive(Clone, Copy, Debug, Default)]
-struct Resent {
-    /// The leader's round.
+struct Retransmission {
+    /// The leader's round at the time.
     round: u64,
-    /// The first of them.
-    from: LogIndex,
+    /// Index of the first entry.
+    first_index: LogIndex,
 }
 
 impl Progress {
     fn new(last_index: LogIndex, now: Millis) -> Self {
         Progress {
-            next: last_index + 1,
-            matched: 0,
+            next_index: last_index + 1,
+            match_index: 0,
             acknowledged: Probe::default(),
-            began_at: now,
-            resent: Resent::default(),
-            snapshot_until: None,
+            started_at: now,
+            retransmission: Retransmission::default(),
+            snapshot_deadline: None,
         }
     }
 }
 
-/// A read that waits until a majority has confirmed that this node still leads.
+/// A read that waits until a majority has confirmed that this node is still the leader.
 #[derive(Clone, Debug)]
 struct PendingRead {
     id: u64,
@@ -63,7 +63,7 @@
     heartbeat_due: Millis,
     quorum_check_due: Millis,
     elected_at: Millis,
-    reads: Vec<PendingRead>,
+    pending_reads: Vec<PendingRead>,
 }
 
 impl LeaderState {
@@ -74,11 +74,11 @@
             heartbeat_due: now,
             quorum_check_due: now,
             elected_at: now,
-            reads: Vec::new(),
+            pending_reads: Vec::new(),
         }
     }
 
-    /// The value that a majority (this node counted as `own`) has reached.
+    /// The highest value that a majority has reached, counting this node with `own`.
     fn quorum_value(&self, own: u64, quorum: usize, value: impl Fn(&Progress) -> u64) -> u64 {
         let mut values: Vec<u64> = self.followers.values().map(value).collect();
         values.push(own);
@@ -88,8 +88,8 @@
 }
 
 impl Node {
-    /// True while no other node can have been elected: a majority has acknowledged a message that was sent
-    /// less than the lease ago, and holds back its votes for longer than that.
+    /// Whether the leader's lease is valid, so that no other node can have been elected: a majority has acknowledged a
+    /// message sent less than the lease duration ago, and withholds its votes for longer than that.
     pub fn leader_lease_valid(&self, now: Millis) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let acknowledged =
@@ -97,12 +97,12 @@
         now < acknowledged + self.settings.election_timeout_ms * LEASE_PERCENT / 100
     }
 
-    /// At a leader: for each other voter, the time since it last answered.
+    /// On a leader, the time since each other voter last replied; empty on other nodes.
     pub fn silent_for(&self, now: Millis) -> BTreeMap<NodeId, Millis> {
         let Role::Leader(leader) = &self.role else { return BTreeMap::new() };
-        let since = |progress: &Progress| progress.acknowledged.sent_at.max(progress.began_at);
-        let silent = |(id, progress): (&NodeId, &Progress)| (*id, now.saturating_sub(since(progress)));
-        leader.followers.iter().map(silent).collect()
+        let since = |progress: &Progress| progress.acknowledged.sent_at.max(progress.started_at);
+        let silence = |(id, progress): (&NodeId, &Progress)| (*id, now.saturating_sub(since(progress)));
+        leader.followers.iter().map(silence).collect()
     }
 
     pub(crate) fn leader_tick(&mut self, now: Millis) {
@@ -111,8 +111,8 @@
             leader.quorum_check_due = now + self.settings.election_timeout_ms;
             let acknowledged =
                 leader.quorum_value(now, self.membership.quorum(), |peer| peer.acknowledged.sent_at);
-            let silent_since = acknowledged.max(leader.elected_at);
-            if now > silent_since + self.settings.election_timeout_ms {
+            let last_quorum_contact = acknowledged.max(leader.elected_at);
+            if now > last_quorum_contact + self.settings.election_timeout_ms {
                 self.become_follower(now, self.hard_state.term, None);
                 return;
             }
@@ -129,13 +129,13 @@
         let term = self.hard_state.term;
         let entries: Vec<Entry> =
             commands.into_iter().map(|command| self.log.append(term, Payload::Command(command))).collect();
-        // Sent before the own disk has synced: the followers' disks work at the same time, and the leader
-        // counts itself only once `Persisted` arrives.
+        // Sent before the local disk has synced, so that the followers' disks write in parallel; the leader counts
+        // itself only once `Persisted` arrives.
         self.broadcast(now);
         self.persist(false, entries);
     }
 
-    /// Appends new voters, who count at once. The leader itself stays a voter.
+    /// Appends a membership change, which takes effect immediately. The leader itself must remain a voter.
     pub(crate) fn change_voters(&mut self, now: Millis, voters: Vec<Voter>) {
         let old = self.membership.voters();
         let added = voters.iter().filter(|voter| !old.contains(&voter.id)).count();
@@ -147,7 +147,7 @@
             return;
         }
         let entry = self.log.append(self.hard_state.term, Payload::Voters(voters.clone()));
-        self.membership.appended(entry.index, &voters);
+        self.membership.record_append(entry.index, &voters);
         self.outputs.push(Output::VotersChanged(voters));
         let (peers, last_index) = (self.peers(), self.log.last_index());
         let Role::Leader(leader) = &mut self.role else { return };
@@ -159,15 +159,15 @@
         self.persist(false, vec![entry]);
     }
 
-    pub(crate) fn entries_persisted(&mut self, index: LogIndex, term: Term) {
-        // A conflicting entry may have replaced it in the meantime.
+    pub(crate) fn handle_persisted(&mut self, index: LogIndex, term: Term) {
+        // The entry may have been replaced by a conflicting one in the meantime.
         if self.log.term_at(index) == Some(term) {
             self.persisted = self.persisted.max(index);
             self.advance_commit();
         }
     }
 
-    /// Sends every follower what it lacks, or a heartbeat.
+    /// Sends every follower the entries that it lacks, or a heartbeat.
     pub(crate) fn broadcast(&mut self, now: Millis) {
         let heartbeat_ms = self.settings.heartbeat_ms;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -184,18 +184,18 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let probe = Probe { round: leader.round, sent_at: now };
         let Some(progress) = leader.followers.get_mut(&to) else { return };
-        if progress.snapshot_until.is_some_and(|until| now < until) {
+        if progress.snapshot_deadline.is_some_and(|deadline| now < deadline) {
             return;
         }
-        let previous_index = progress.next - 1;
+        let previous_index = progress.next_index - 1;
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            progress.snapshot_until = Some(now + self.settings.election_timeout_ms * 4);
+            progress.snapshot_deadline = Some(now + self.settings.election_timeout_ms * 4);
             self.outputs.push(Output::SnapshotNeeded { to });
             return;
         };
-        progress.snapshot_until = None;
-        let entries = self.log.slice(progress.next, last_index, max_bytes);
-        progress.next += entries.len() as LogIndex;
+        progress.snapshot_deadline = None;
+        let entries = self.log.slice(progress.next_index, last_index, max_bytes);
+        progress.next_index += entries.len() as LogIndex;
         let commit = self.commit;
         self.send(to, Body::Append { previous_index, previous_term, entries, commit, probe });
     }
@@ -211,11 +211,11 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let probe = Probe { round: leader.round, sent_at: now };
         let Some(progress) = leader.followers.get_mut(&to) else { return };
-        progress.next = index + 1;
+        progress.next_index = index + 1;
         self.send(to, Body::Snapshot { index, term, data, probe });
     }
 
-    pub(crate) fn append_entries(
+    pub(crate) fn handle_append(
         &mut self,
         from: NodeId,
         previous_index: LogIndex,
@@ -231,17 +231,17 @@
             return;
         }
         let matched_index = previous_index + entries.len() as LogIndex;
-        let fresh = self.log.merge(entries);
-        if let Some(first) = fresh.first() {
+        let appended = self.log.merge(entries);
+        if let Some(first) = appended.first() {
             self.persisted = self.persisted.min(first.index - 1);
-            self.membership.truncated(first.index);
-            for entry in &fresh {
+            self.membership.truncate_from(first.index);
+            for entry in &appended {
                 if let Payload::Voters(voters) = &entry.payload {
-                    self.membership.appended(entry.index, voters);
+                    self.membership.record_append(entry.index, voters);
                     self.outputs.push(Output::VotersChanged(voters.clone()));
                 }
             }
-            self.persist(false, fresh);
+            self.persist(false, appended);
         }
         self.commit = self.commit.max(commit.min(matched_index));
         self.send(from, Body::AppendReply { matched: true, index: matched_index, probe });
@@ -252,7 +252,7 @@
         self.send(from, Body::AppendReply { matched: false, index, probe });
     }
 
-    pub(crate) fn append_replied(
+    pub(crate) fn handle_append_reply(
         &mut self,
         now: Millis,
         from: NodeId,
@@ -268,35 +268,36 @@
                 Probe { round: probe.round, sent_at: probe.sent_at.max(progress.acknowledged.sent_at) };
         }
         if matched {
-            progress.snapshot_until = None;
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(index + 1);
+            progress.snapshot_deadline = None;
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(index + 1);
         } else {
-            let next = (index + 1).max(progress.matched + 1);
-            let is_answered = probe.round <= progress.resent.round && next >= progress.resent.from;
-            if !is_answered {
-                progress.next = next;
-                progress.resent = Resent { round: leader.round, from: next };
+            let next_index = (index + 1).max(progress.match_index + 1);
+            let is_retransmitted = probe.round <= progress.retransmission.round
+                && next_index >= progress.retransmission.first_index;
+            if !is_retransmitted {
+                progress.next_index = next_index;
+                progress.retransmission = Retransmission { round: leader.round, first_index: next_index };
             }
         }
-        let lacks_entries = progress.next <= last_index;
+        let lacks_entries = progress.next_index <= last_index;
         self.advance_commit();
-        self.answer_reads();
+        self.answer_confirmed_reads();
         if lacks_entries {
             self.send_append(now, from);
         }
     }
 
-    /// Commits what a majority has synced, but by counting only for entries of the leader's own term.
+    /// Advances the commit index to what a majority has synced, provided that entry is of the leader's own term.
     fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
-        let agreed = leader.quorum_value(self.persisted, self.membership.quorum(), |peer| peer.matched);
+        let agreed = leader.quorum_value(self.persisted, self.membership.quorum(), |peer| peer.match_index);
         if agreed > self.commit && self.log.term_at(agreed) == Some(self.hard_state.term) {
             self.commit = agreed;
         }
     }
 
-    pub(crate) fn restore_snapshot(
+    pub(crate) fn handle_snapshot(
         &mut self,
         from: NodeId,
         index: LogIndex,
@@ -305,8 +306,8 @@
         probe: Probe,
     ) {
         if index > self.commit && self.log.term_at(index) == Some(term) {
-            // The log holds all that the snapshot covers, and maybe more that was acknowledged since the snapshot
-            // was sent: nothing of it may be dropped for a snapshot that arrives late.
+            // The log contains everything that the snapshot covers, and possibly entries that were acknowledged after the
+            // snapshot was sent: a delayed snapshot must not discard them.
             self.commit = index;
         } else if index > self.commit {
             self.log.reset(index, term);
@@ -316,7 +317,7 @@
         self.send(from, Body::AppendReply { matched: true, index, probe });
     }
 
-    pub(crate) fn read(&mut self, now: Millis, id: u64) {
+    pub(crate) fn handle_read(&mut self, now: Millis, id: u64) {
         let commit = self.commit;
         let commits_own_term = self.log.term_at(commit) == Some(self.hard_state.term);
         let lease_valid = self.leader_lease_valid(now);
@@ -325,11 +326,11 @@
             self.outputs.push(Output::ReadReady { id, index: commit });
             return;
         }
-        leader.reads.push(PendingRead { id, index: commit, round: leader.round + 1 });
+        leader.pending_reads.push(PendingRead { id, index: commit, round: leader.round + 1 });
         self.broadcast(now);
     }
 
-    fn answer_reads(&mut self) {
+    fn answer_confirmed_reads(&mut self) {
         let commit = self.commit;
         if self.log.term_at(commit) != Some(self.hard_state.term) {
             return;
@@ -338,8 +339,8 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let confirmed = leader.quorum_value(leader.round, quorum, |peer| peer.acknowledged.round);
         let (ready, waiting): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut leader.reads).into_iter().partition(|read| read.round <= confirmed);
-        leader.reads = waiting;
+            std::mem::take(&mut leader.pending_reads).into_iter().partition(|read| read.round <= confirmed);
+        leader.pending_reads = waiting;
         for read in ready {
             self.outputs.push(Output::ReadReady { id: read.id, index: read.index.max(commit) });
         }
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -1,46 +1,46 @@
-//! Values that cross the border between the core and its driver.
+//! Types of the interface between the consensus core and its driver.
 
 use crate::message::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Identifies a member of the group; never reused for another data folder.
+/// Identifies a member of the group; never reused with another data folder.
 pub type NodeId = u64;
-/// An election period.
+/// A Raft term.
 pub type Term = u64;
-/// A position in the log, from 1; 0 is before the first entry.
+/// A position in the log, starting from 1; 0 precedes the first entry.
 pub type LogIndex = u64;
 /// Monotonic time of this process, in milliseconds.
 pub type Millis = u64;
 
-/// A member of the group that votes.
+/// A voting member of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Voter {
-    /// Its id.
+    /// Node id.
     pub id: NodeId,
-    /// Where it is reached; the core only passes it on.
+    /// Network address; opaque to the core, which only passes it on.
     pub address: SocketAddr,
 }
 
-/// What an entry carries.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Appended by a new leader, so that it can commit what earlier terms left.
+    /// No-op appended by a new leader, so that it can commit the entries of earlier terms.
     Empty,
-    /// A command of the state machine.
+    /// A command for the state machine.
     Command(Vec<u8>),
-    /// The voters from this entry on.
+    /// The voters in effect from this entry on.
     Voters(Vec<Voter>),
 }
 
-/// One entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position.
+    /// Position in the log.
     pub index: LogIndex,
     /// The term in which a leader appended it.
     pub term: Term,
-    /// Its content.
+    /// Payload.
     pub payload: Payload,
 }
 
@@ -56,145 +56,145 @@
     }
 }
 
-/// What must survive a restart besides the log: losing it could let a node vote twice in one term.
+/// Persistent state besides the log: without it a node could vote twice in one term after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The newest term seen.
     pub term: Term,
-    /// Whom this node voted for in that term.
+    /// The candidate that this node voted for in that term.
     pub voted_for: Option<NodeId>,
 }
 
-/// What a driver read from its disk before it built a node.
+/// State that a driver read from disk, from which a node is built.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
     /// The stored hard state.
     pub hard_state: HardState,
-    /// Index of the last entry that the stored snapshot covers; 0 without one.
+    /// Index of the last entry that the stored snapshot covers; 0 without a snapshot.
     pub snapshot_index: LogIndex,
     /// Term of that entry.
     pub snapshot_term: Term,
-    /// Entries after the snapshot, without gaps.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// The voters that the snapshot names; `None` if the group never changed, so that the settings hold.
+    /// The voters recorded in the snapshot; `None` if the membership never changed, so that those in the settings apply.
     pub voters: Option<Vec<Voter>>,
 }
 
-/// Fixed parameters of a node.
+/// Constant parameters of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This node.
+    /// Id of this node.
     pub id: NodeId,
-    /// The voters with which the group began; empty at a node that waits to be admitted.
+    /// The initial voters of the group; empty on a node that waits to be added.
     pub voters: Vec<NodeId>,
-    /// Shortest time without a leader before an election; the longest is twice that.
+    /// Minimum time without a leader before an election; with jitter, the maximum is twice that.
     pub election_timeout_ms: Millis,
-    /// Time between a leader's messages to an idle follower.
+    /// Interval between a leader's heartbeats.
     pub heartbeat_ms: Millis,
-    /// Payload bytes in one append message, at most (a single larger entry still goes).
+    /// Maximum payload bytes in one append message; a single larger entry is still sent.
     pub max_message_bytes: usize,
-    /// Seeds the jitter of election time-outs.
+    /// Seed for the jitter of election timeouts.
     pub seed: u64,
 }
 
-/// What happened, as told by the driver.
+/// An event passed in by the driver.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time passed.
     Tick,
     /// A message arrived.
     Receive(Message),
-    /// Commands to append; dropped unless this node leads.
+    /// Commands to append; ignored unless this node is the leader.
     Propose(Vec<Vec<u8>>),
     /// An earlier [`Output::Persist`] is synced up to this index of this term.
     Persisted {
-        /// Last synced index.
+        /// Index of the last synced entry.
         index: LogIndex,
         /// Term of the entry at that index.
         term: Term,
     },
-    /// Replace the voters; at most one may be added or removed. Dropped unless this node leads and the last change
-    /// is committed.
+    /// Replaces the voters; exactly one may be added or removed. Ignored unless this node is the leader and the previous
+    /// change is committed.
     ChangeVoters(Vec<Voter>),
-    /// Ask for an index at which a read is current; answered by [`Output::ReadReady`] if this node leads.
+    /// Requests a read index; answered by [`Output::ReadReady`] if this node is the leader.
     Read {
-        /// Chosen by the driver.
+        /// Request id chosen by the driver.
         id: u64,
     },
-    /// A snapshot up to this index is stored; the log before it may go.
+    /// A snapshot up to this index is stored; the log up to it may be compacted.
     Compact {
-        /// Last index that the snapshot covers.
+        /// Index of the last entry that the snapshot covers.
         index: LogIndex,
     },
-    /// The answer to [`Output::SnapshotNeeded`].
+    /// The reply to [`Output::SnapshotNeeded`].
     SnapshotLoaded {
-        /// The follower that lacks compacted entries.
+        /// The follower that needs compacted entries.
         to: NodeId,
-        /// Last index that the snapshot covers.
+        /// Index of the last entry that the snapshot covers.
         index: LogIndex,
         /// Term of that entry.
         term: Term,
-        /// The snapshot.
+        /// Content of the snapshot.
         data: Vec<u8>,
     },
 }
 
-/// What the driver has to do. Outputs are carried out in order, and a `Persist` or `Restore` is synced before
-/// any later output of the same step.
+/// An action for the driver. Outputs are executed in order, and a `Persist` or `Restore` is synced before any later
+/// output of the same step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Store the hard state, drop stored entries from the first of `entries` on, and append `entries`.
+    /// Stores the hard state, removes stored entries from the index of the first of `entries` on, and appends `entries`.
     Persist {
-        /// Set when it changed.
+        /// Set if it changed.
         hard_state: Option<HardState>,
         /// May be empty.
         entries: Vec<Entry>,
     },
-    /// Send a message; it may be lost.
+    /// Sends a message, which may be lost.
     Send(Message),
-    /// These entries are committed: apply them in order.
+    /// Committed entries, to be applied in order.
     Commit(Vec<Entry>),
-    /// Replace the state machine, the stored snapshot and the whole log by this snapshot.
+    /// Replaces the state machine, the stored snapshot and the whole log by this snapshot.
     Restore {
-        /// Last index that it covers.
+        /// Index of the last entry that it covers.
         index: LogIndex,
         /// Term of that entry.
         term: Term,
-        /// The snapshot.
+        /// Content of the snapshot.
         data: Vec<u8>,
     },
-    /// Load the newest stored snapshot and answer by [`Input::SnapshotLoaded`].
+    /// Requests the newest stored snapshot, to be passed in as [`Input::SnapshotLoaded`].
     SnapshotNeeded {
-        /// The follower that lacks compacted entries.
+        /// The follower that needs compacted entries.
         to: NodeId,
     },
-    /// A read is current once the state machine has applied `index`.
+    /// A read is linearizable once the state machine has applied `index`.
     ReadReady {
-        /// From [`Input::Read`].
+        /// Request id from [`Input::Read`].
         id: u64,
         /// Index to wait for.
         index: LogIndex,
     },
-    /// The voters by the newest entry of the log; each must be reachable from now on.
+    /// The voters according to the newest voters entry of the log; the driver must be able to reach each from now on.
     VotersChanged(Vec<Voter>),
-    /// The node's part changed.
+    /// The role or the known leader may have changed.
     RoleChanged {
-        /// Its new part.
+        /// The current role.
         role: RoleName,
-        /// Its term.
+        /// The current term.
         term: Term,
-        /// The leader it knows of.
+        /// The leader of this term, if known.
         leader: Option<NodeId>,
     },
 }
 
-/// The part that a node plays.
+/// The role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RoleName {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads its term.
+    /// Leader of the current term.
     Leader,
 }
--- a/crates/consensus/tests/core.rs
+++ b/crates/consensus/tests/core.rs
@@ -1,14 +1,14 @@
-//! The core's rules on single messages. Whole groups under faults are in the `simulation` crate.
+//! Unit tests of the consensus core on single messages. The `simulation` crate tests whole groups under faults.
 
 use dockwood_consensus::{Body, Entry, Input, Message, Node, Output, Payload, Recovered, RoleName, Settings};
 
-const TIMEOUT: u64 = 500;
+const ELECTION_TIMEOUT_MS: u64 = 500;
 
 fn settings(id: u64, voters: &[u64]) -> Settings {
     Settings {
         id,
         voters: voters.to_vec(),
-        election_timeout_ms: TIMEOUT,
+        election_timeout_ms: ELECTION_TIMEOUT_MS,
         heartbeat_ms: 100,
         max_message_bytes: 1 << 16,
         seed: 1,
@@ -42,43 +42,43 @@
 }
 
 #[test]
-fn a_group_of_one_elects_itself_and_commits_after_its_sync() {
+fn a_single_voter_elects_itself_and_commits_only_after_its_sync() {
     let mut node = Node::new(settings(1, &[1]), Recovered::default(), 0);
     let outputs = node.step(0, Input::Tick);
     assert_eq!(node.role(), RoleName::Leader);
-    assert!(!outputs.iter().any(|output| matches!(output, Output::Commit(_))), "nothing is synced yet");
+    assert!(!outputs.iter().any(|output| matches!(output, Output::Commit(_))), "the entry is not synced yet");
     let outputs = node.step(1, Input::Persisted { index: 1, term: 1 });
     assert!(outputs.iter().any(|output| matches!(output, Output::Commit(entries) if entries.len() == 1)));
 }
 
 #[test]
-fn a_pre_vote_changes_no_term() {
+fn a_pre_vote_does_not_change_the_term() {
     let mut node = node(2);
-    node.step(TIMEOUT * 3, Input::Tick);
+    node.step(ELECTION_TIMEOUT_MS * 3, Input::Tick);
     assert_eq!((node.role(), node.term()), (RoleName::Candidate, 0));
     let request = Body::VoteRequest { binding: false, last_index: 0, last_term: 0 };
     let mut other = self::node(3);
-    let outputs = other.step(TIMEOUT * 3, message(2, 3, 1, request));
+    let outputs = other.step(ELECTION_TIMEOUT_MS * 3, message(2, 3, 1, request));
     assert!(matches!(sent(&outputs)[..], [Body::VoteReply { granted: true, .. }]));
     assert_eq!(other.term(), 0);
 }
 
-/// What a voter holds that has been running for some time.
-fn running_before() -> Recovered {
+/// The persistent state of a voter that has been running before.
+fn recovered_with_entries() -> Recovered {
     Recovered { entries: entries(1, 1..=3), ..Recovered::default() }
 }
 
-/// Milliseconds from the start of the last voter until one leads, where all start again at these times.
-fn leaderless_after_restart(started: [u64; 3], seed: u64) -> u64 {
+/// Milliseconds from the restart of the last voter until a leader is elected, with all voters restarting at these times.
+fn leaderless_after_restart(start_times: [u64; 3], seed: u64) -> u64 {
     let mut nodes: Vec<Option<Node>> = vec![None, None, None];
-    let last = started.iter().copied().max().unwrap_or(0);
-    for now in 0..last + 10 * TIMEOUT {
+    let last = start_times.iter().copied().max().unwrap_or(0);
+    for now in 0..last + 10 * ELECTION_TIMEOUT_MS {
         let mut messages = Vec::new();
         for id in 1..=3_u64 {
             let index = id as usize - 1;
-            if started[index] == now {
+            if start_times[index] == now {
                 let settings = Settings { seed: seed + id, ..settings(id, &[1, 2, 3]) };
-                nodes[index] = Some(Node::new(settings, running_before(), now));
+                nodes[index] = Some(Node::new(settings, recovered_with_entries(), now));
             }
             let outputs = nodes[index].as_mut().map(|node| node.step(now, Input::Tick));
             messages.extend(outputs.into_iter().flatten());
@@ -94,33 +94,33 @@
             return now.saturating_sub(last);
         }
     }
-    panic!("nobody leads");
+    panic!("no leader was elected");
 }
 
-/// Found on norrstrom-klubb, incident inc-e5a2: after all voters had been down, one asked for pre-votes while the others
-/// still held theirs back, was passed over without a word, and waited for a whole time-out before it asked again.
+/// Guards against a long outage after all voters restart (incident inc-e5a2 on norrstrom-klubb): one requested pre-votes
+/// while the others still withheld theirs, was silently ignored, and waited a whole election timeout before retrying.
 #[test]
-fn after_a_restart_of_all_a_leader_is_there_soon_after_votes_are_given_again() {
+fn after_a_full_restart_a_leader_is_elected_soon_after_votes_are_no_longer_withheld() {
     for seed in 0..200 {
         let leaderless = leaderless_after_restart([0, 150, 300], seed);
         assert!(
-            leaderless >= TIMEOUT - 300,
-            "votes are held back for a time-out: {leaderless} ms, seed {seed}"
+            leaderless >= ELECTION_TIMEOUT_MS - 300,
+            "votes are withheld for one election timeout: {leaderless} ms, seed {seed}"
         );
-        assert!(leaderless <= TIMEOUT + 200, "{leaderless} ms, seed {seed}");
+        assert!(leaderless <= ELECTION_TIMEOUT_MS + 200, "{leaderless} ms, seed {seed}");
     }
 }
 
 #[test]
-fn a_vote_is_given_once_in_a_term_and_only_to_a_current_log() {
+fn a_vote_is_granted_once_per_term_and_only_to_an_up_to_date_log() {
     let mut node = node(3);
-    let ask = |from, term, last_index| {
+    let request = |from, term, last_index| {
         message(from, 3, term, Body::VoteRequest { binding: true, last_index, last_term: 0 })
     };
     let granted = |outputs: &[Output]| matches!(sent(outputs)[..], [Body::VoteReply { granted: true, .. }]);
-    assert!(granted(&node.step(9_000, ask(1, 5, 0))));
-    assert!(!granted(&node.step(9_001, ask(2, 5, 0))));
-    assert!(granted(&node.step(9_002, ask(1, 5, 0))), "a repeat gets the same answer");
+    assert!(granted(&node.step(9_000, request(1, 5, 0))));
+    assert!(!granted(&node.step(9_001, request(2, 5, 0))));
+    assert!(granted(&node.step(9_002, request(1, 5, 0))), "a repeated request gets the same reply");
     let mut ahead = self::node(2);
     ahead.step(0, append(1, (0, 0), entries(1, 1..=3), 0));
     let request = Body::VoteRequest { binding: true, last_index: 2, last_term: 1 };
@@ -128,16 +128,16 @@
 }
 
 #[test]
-fn votes_are_withheld_while_a_leader_is_heard() {
+fn votes_are_withheld_while_a_leader_is_live() {
     let mut node = node(2);
     node.step(1_000, append(1, (0, 0), Vec::new(), 0));
     let request = Body::VoteRequest { binding: true, last_index: 9, last_term: 9 };
-    assert!(node.step(1_000 + TIMEOUT - 1, message(3, 2, 9, request.clone())).is_empty());
-    assert!(!node.step(1_000 + TIMEOUT, message(3, 2, 9, request)).is_empty());
+    assert!(node.step(1_000 + ELECTION_TIMEOUT_MS - 1, message(3, 2, 9, request.clone())).is_empty());
+    assert!(!node.step(1_000 + ELECTION_TIMEOUT_MS, message(3, 2, 9, request)).is_empty());
 }
 
 #[test]
-fn a_late_shorter_append_cuts_nothing() {
+fn a_delayed_shorter_append_truncates_nothing() {
     let mut node = node(2);
     node.step(0, append(1, (0, 0), entries(1, 1..=5), 0));
     node.step(1, append(1, (0, 0), entries(1, 1..=2), 0));
@@ -145,17 +145,17 @@
 }
 
 #[test]
-fn a_conflicting_entry_replaces_the_rest() {
+fn a_conflicting_entry_truncates_the_rest_of_the_log() {
     let mut node = node(2);
     node.step(0, append(1, (0, 0), entries(1, 1..=5), 1));
     node.step(1, append(2, (2, 1), entries(2, 3..=3), 1));
     assert_eq!((node.last_index(), node.term_at(3), node.commit_index()), (3, Some(2), 1));
 }
 
-/// Found by the simulator under a lossy network: a snapshot that arrives after the entries that follow it were
-/// acknowledged made the follower drop them, and the leader went on counting them.
+/// Guards against losing acknowledged entries (found by the simulator with a lossy network): a snapshot that arrived after
+/// later entries had been acknowledged made the follower discard them, while the leader still counted them.
 #[test]
-fn a_late_snapshot_drops_nothing_that_was_acknowledged() {
+fn a_delayed_snapshot_discards_no_acknowledged_entries() {
     let mut node = node(2);
     node.step(0, append(1, (0, 0), entries(1, 1..=5), 1));
     let snapshot = Body::Snapshot { index: 3, term: 1, data: vec![9], probe: Default::default() };
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_snapshot_beyond_the_log_replaces_it() {
+fn a_snapshot_beyond_the_end_of_the_log_replaces_it() {
     let mut node = node(2);
     node.step(0, append(1, (0, 0), entries(1, 1..=2), 1));
     let snapshot = Body::Snapshot { index: 8, term: 1, data: vec![9], probe: Default::default() };
@@ -175,28 +175,28 @@
 }
 
 #[test]
-fn votes_of_strangers_never_count() {
+fn votes_of_non_voters_are_not_counted() {
     let mut node = node(2);
     node.step(9_000, Input::Tick);
     assert_eq!(node.role(), RoleName::Candidate);
-    for stranger in [7, 8, 9] {
+    for non_voter in [7, 8, 9] {
         let vote = Body::VoteReply { binding: false, granted: true };
-        assert!(node.step(9_001, message(stranger, 2, 1, vote)).is_empty());
+        assert!(node.step(9_001, message(non_voter, 2, 1, vote)).is_empty());
     }
     assert_eq!((node.role(), node.term()), (RoleName::Candidate, 0));
 }
 
 #[test]
-fn messages_to_others_are_passed_over() {
+fn messages_for_other_nodes_are_ignored() {
     let mut node = node(2);
     let request = Body::VoteRequest { binding: true, last_index: 0, last_term: 0 };
     assert!(node.step(9_000, message(1, 3, 5, request)).is_empty());
     assert_eq!(node.term(), 0);
 }
 
-/// This node may lack the entry that made the candidate a voter; refusing it unheard could leave no majority.
+/// A node may lack the entry that made the candidate a voter; ignoring the candidate could make a majority impossible.
 #[test]
-fn a_candidate_that_this_node_does_not_know_is_judged_by_its_log() {
+fn a_vote_for_an_unknown_candidate_depends_on_its_log() {
     let mut node = node(2);
     node.step(0, append(1, (0, 0), entries(1, 1..=3), 3));
     let request = |last_index| Body::VoteRequest { binding: true, last_index, last_term: 1 };
@@ -209,21 +209,21 @@
     assert!(granted(node.step(19_000, message(7, 2, 6, request(3)))));
 }
 
-/// A leader of three with ten entries of its own, of which voter 2 has all and voter 3 none.
+/// A leader of three voters with ten proposed entries, none of which the followers have acknowledged.
 fn leader_with_entries() -> Node {
     let mut leader = node(1);
-    leader.step(TIMEOUT * 3, Input::Tick);
+    leader.step(ELECTION_TIMEOUT_MS * 3, Input::Tick);
     let vote = |binding| Body::VoteReply { binding, granted: true };
-    leader.step(TIMEOUT * 3, message(2, 1, 1, vote(false)));
-    leader.step(TIMEOUT * 3, message(2, 1, 1, vote(true)));
+    leader.step(ELECTION_TIMEOUT_MS * 3, message(2, 1, 1, vote(false)));
+    leader.step(ELECTION_TIMEOUT_MS * 3, message(2, 1, 1, vote(true)));
     assert_eq!(leader.role(), RoleName::Leader);
     let commands = (0..10).map(|number| vec![number; 100]).collect();
-    leader.step(TIMEOUT * 3, Input::Propose(commands));
+    leader.step(ELECTION_TIMEOUT_MS * 3, Input::Propose(commands));
     leader
 }
 
-/// The rounds of the messages to voter 3, and how many entries each carries.
-fn to_voter_3(outputs: &[Output]) -> Vec<(dockwood_consensus::Probe, usize)> {
+/// The probes of the appends to voter 3, and the number of entries in each.
+fn appends_to_voter_3(outputs: &[Output]) -> Vec<(dockwood_consensus::Probe, usize)> {
     let appends = outputs.iter().filter_map(|output| match output {
         Output::Send(Message { to: 3, body: Body::Append { entries, probe, .. }, .. }) => {
             Some((*probe, entries.len()))
@@ -233,30 +233,30 @@
     appends.collect()
 }
 
-/// Found on unidos-despacho-grown: after a cut a follower rejected the fifty messages that had waited for it, the leader
-/// sent all that it lacked again for each of them, and exceeded its memory.
+/// Guards against the leader running out of memory (found on unidos-despacho-grown): after a network partition a follower
+/// rejected the fifty messages that were queued for it, and the leader retransmitted all missing entries for each.
 #[test]
-fn what_a_follower_lacks_is_sent_again_once_however_many_messages_it_rejects() {
+fn missing_entries_are_retransmitted_once_however_many_messages_are_rejected() {
     let mut leader = leader_with_entries();
-    let mut waiting = Vec::new();
-    let mut now = TIMEOUT * 3;
+    let mut queued = Vec::new();
+    let mut now = ELECTION_TIMEOUT_MS * 3;
     for _ in 0..40 {
         now += 100;
-        waiting.extend(to_voter_3(&leader.step(now, Input::Tick)));
-        let (probe, _) = waiting[waiting.len() - 1];
+        queued.extend(appends_to_voter_3(&leader.step(now, Input::Tick)));
+        let (probe, _) = queued[queued.len() - 1];
         leader.step(now, message(2, 1, 1, Body::AppendReply { matched: true, index: 11, probe }));
     }
-    assert!(waiting.len() >= 40);
+    assert!(queued.len() >= 40);
     let reject = |probe| message(3, 1, 1, Body::AppendReply { matched: false, index: 0, probe });
-    let resent: Vec<usize> = waiting
+    let retransmitted: Vec<usize> = queued
         .iter()
-        .flat_map(|(probe, _)| to_voter_3(&leader.step(now, reject(*probe))))
+        .flat_map(|(probe, _)| appends_to_voter_3(&leader.step(now, reject(*probe))))
         .map(|(_, entries)| entries)
         .collect();
-    assert_eq!(resent.iter().filter(|entries| **entries > 0).count(), 1, "{resent:?}");
-    // Should that one be lost too, the next heartbeat's rejection brings the entries.
+    assert_eq!(retransmitted.iter().filter(|entries| **entries > 0).count(), 1, "{retransmitted:?}");
+    // If the retransmission is lost too, the rejection of the next heartbeat triggers another one.
     now += 100;
-    let heartbeat = to_voter_3(&leader.step(now, Input::Tick));
-    let again = to_voter_3(&leader.step(now, reject(heartbeat[0].0)));
-    assert_eq!(again.iter().map(|(_, entries)| *entries).max(), Some(11));
+    let heartbeat = appends_to_voter_3(&leader.step(now, Input::Tick));
+    let second_retransmission = appends_to_voter_3(&leader.step(now, reject(heartbeat[0].0)));
+    assert_eq!(second_retransmission.iter().map(|(_, entries)| *entries).max(), Some(11));
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Groups whose voters change, with lost messages, lost disks and elections, driven by a small pump.
+//! Membership changes under lost messages, lost disks and elections, run by a small event loop.
 
 use dockwood_consensus::{
     Entry, HardState, Input, Message, Node, Output, Payload, Recovered, RoleName, Settings, Voter,
@@ -21,7 +21,7 @@
     }
 }
 
-/// What one node has synced, and what it has been told is committed.
+/// What one node has synced, and which entries it has committed since its start.
 #[derive(Default)]
 struct Disk {
     hard_state: HardState,
@@ -29,37 +29,37 @@
     committed: Vec<Entry>,
 }
 
-/// Nodes with their disks, and messages that arrive at once or never.
+/// Nodes with their disks, and a network that delivers messages immediately or never.
 struct Group {
     now: u64,
     nodes: BTreeMap<u64, Node>,
     disks: BTreeMap<u64, Disk>,
-    founders: Vec<u64>,
-    cut_off: BTreeSet<u64>,
+    initial_voters: Vec<u64>,
+    partitioned: BTreeSet<u64>,
     in_flight: VecDeque<Message>,
 }
 
 impl Group {
-    fn founded(ids: &[u64]) -> Group {
+    fn new(ids: &[u64]) -> Group {
         let mut group = Group {
             now: 0,
             nodes: BTreeMap::new(),
             disks: BTreeMap::new(),
-            founders: ids.to_vec(),
-            cut_off: BTreeSet::new(),
+            initial_voters: ids.to_vec(),
+            partitioned: BTreeSet::new(),
             in_flight: VecDeque::new(),
         };
         ids.iter().for_each(|id| group.start(*id));
         group
     }
 
-    /// Starts a node from what its disk holds. One that is no founder begins without voters.
+    /// Starts a node from its disk. A node that is not an initial voter starts without voters.
     fn start(&mut self, id: u64) {
         let disk = self.disks.entry(id).or_default();
         let recovered =
             Recovered { hard_state: disk.hard_state, entries: disk.entries.clone(), ..Recovered::default() };
         disk.committed.clear();
-        let voters = if self.founders.contains(&id) { self.founders.clone() } else { Vec::new() };
+        let voters = if self.initial_voters.contains(&id) { self.initial_voters.clone() } else { Vec::new() };
         self.nodes.insert(id, Node::new(settings(id, &voters), recovered, self.now));
     }
 
@@ -77,12 +77,12 @@
         while let Some(input) = inputs.pop_front() {
             let Some(node) = self.nodes.get_mut(&id) else { return };
             for output in node.step(self.now, input) {
-                inputs.extend(self.carry_out(id, output));
+                inputs.extend(self.execute(id, output));
             }
         }
     }
 
-    fn carry_out(&mut self, id: u64, output: Output) -> Option<Input> {
+    fn execute(&mut self, id: u64, output: Output) -> Option<Input> {
         let disk = self.disks.entry(id).or_default();
         match output {
             Output::Persist { hard_state, entries } => {
@@ -107,17 +107,18 @@
             let ids: Vec<u64> = self.nodes.keys().copied().collect();
             ids.iter().for_each(|id| self.step(*id, Input::Tick));
             while let Some(message) = self.in_flight.pop_front() {
-                let is_cut = self.cut_off.contains(&message.from) || self.cut_off.contains(&message.to);
-                if !is_cut {
+                let is_lost =
+                    self.partitioned.contains(&message.from) || self.partitioned.contains(&message.to);
+                if !is_lost {
                     self.step(message.to, Input::Receive(message));
                 }
             }
-            self.check();
+            self.check_committed_entries();
         }
     }
 
-    /// Whatever two nodes call committed is the same.
-    fn check(&self) {
+    /// Asserts that all nodes agree on the committed entries.
+    fn check_committed_entries(&self) {
         let mut log: BTreeMap<u64, &Entry> = BTreeMap::new();
         for entry in self.disks.values().flat_map(|disk| &disk.committed) {
             let known = log.entry(entry.index).or_insert(entry);
@@ -126,8 +127,8 @@
     }
 
     fn leader(&self) -> Option<u64> {
-        let leads = |node: &Node| node.role() == RoleName::Leader && node.leader_lease_valid(self.now);
-        self.nodes.iter().find(|(_, node)| leads(node)).map(|(id, _)| *id)
+        let is_leader = |node: &Node| node.role() == RoleName::Leader && node.leader_lease_valid(self.now);
+        self.nodes.iter().find(|(_, node)| is_leader(node)).map(|(id, _)| *id)
     }
 
     fn propose(&mut self, command: u8) {
@@ -137,7 +138,7 @@
         self.run(200);
     }
 
-    fn change(&mut self, ids: &[u64]) {
+    fn change_voters(&mut self, ids: &[u64]) {
         if let Some(leader) = self.leader() {
             self.step(leader, Input::ChangeVoters(ids.iter().map(|id| voter(*id)).collect()));
         }
@@ -159,8 +160,8 @@
 }
 
 #[test]
-fn a_node_without_voters_never_campaigns() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn a_node_without_voters_never_starts_an_election() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.start(9);
     group.run(5_000);
     assert_eq!(group.nodes[&9].term(), 0);
@@ -168,28 +169,28 @@
 }
 
 #[test]
-fn a_newcomer_gets_the_whole_log_and_then_counts() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn an_added_voter_receives_the_whole_log_and_votes() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     group.propose(1);
     group.start(9);
-    group.change(&[1, 2, 3, 9]);
+    group.change_voters(&[1, 2, 3, 9]);
     group.propose(2);
     assert_eq!(group.committed(9), [1, 2]);
     assert!([1, 2, 3, 9].iter().all(|id| group.voters(*id) == [1, 2, 3, 9]));
 }
 
 #[test]
-fn a_lost_disk_is_replaced_and_a_second_loss_right_after_is_survived() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn a_voter_with_a_lost_disk_is_replaced_and_the_group_survives_a_second_loss() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     group.propose(1);
     let leader = group.leader().unwrap_or(1);
     let others: Vec<u64> = [1, 2, 3].into_iter().filter(|id| *id != leader).collect();
     group.lose_disk(others[0]);
     group.start(9);
-    group.change(&[leader, others[1]]);
-    group.change(&[leader, others[1], 9]);
+    group.change_voters(&[leader, others[1]]);
+    group.change_voters(&[leader, others[1], 9]);
     group.propose(2);
     group.lose_disk(leader);
     group.run(3_000);
@@ -199,55 +200,55 @@
 }
 
 #[test]
-fn only_one_voter_changes_at_a_time() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn only_one_voter_can_be_changed_at_a_time() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     let leader = group.leader().unwrap_or(1);
-    group.change(&[1, 2, 3, 8, 9]);
+    group.change_voters(&[1, 2, 3, 8, 9]);
     assert_eq!(group.voters(leader), [1, 2, 3]);
     let without_itself: Vec<u64> = [1, 2, 3].into_iter().filter(|id| *id != leader).collect();
-    group.change(&without_itself);
+    group.change_voters(&without_itself);
     assert_eq!(group.voters(leader), [1, 2, 3]);
 }
 
 #[test]
-fn a_change_waits_for_the_one_before() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn a_change_is_ignored_while_the_previous_one_is_uncommitted() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     let leader = group.leader().unwrap_or(1);
-    group.cut_off = [1, 2, 3].into_iter().filter(|id| *id != leader).collect();
+    group.partitioned = [1, 2, 3].into_iter().filter(|id| *id != leader).collect();
     group.step(leader, Input::ChangeVoters([1, 2, 3, 9].map(voter).to_vec()));
     group.step(leader, Input::ChangeVoters([1, 2, 3, 9, 8].map(voter).to_vec()));
     assert_eq!(group.voters(leader), [1, 2, 3, 9]);
 }
 
 #[test]
-fn a_change_that_was_never_committed_is_taken_back_with_its_entry() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn an_uncommitted_change_is_reverted_when_its_entry_is_truncated() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     group.propose(1);
     let leader = group.leader().unwrap_or(1);
-    group.cut_off = BTreeSet::from([leader]);
+    group.partitioned = BTreeSet::from([leader]);
     group.step(leader, Input::ChangeVoters([1, 2, 3, 9].map(voter).to_vec()));
     assert_eq!(group.voters(leader), [1, 2, 3, 9]);
     group.run(3_000);
     group.propose(2);
-    group.cut_off.clear();
+    group.partitioned.clear();
     group.run(2_000);
     assert_eq!(group.voters(leader), [1, 2, 3]);
     assert_eq!(group.committed(leader), [1, 2]);
 }
 
 #[test]
-fn a_removed_voter_that_returns_disturbs_nobody() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn a_removed_voter_that_reconnects_does_not_disrupt_the_group() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     let leader = group.leader().unwrap_or(1);
     let removed = if leader == 3 { 2 } else { 3 };
-    group.cut_off = BTreeSet::from([removed]);
+    group.partitioned = BTreeSet::from([removed]);
     let rest: Vec<u64> = [1, 2, 3].into_iter().filter(|id| *id != removed).collect();
-    group.change(&rest);
-    group.cut_off.clear();
+    group.change_voters(&rest);
+    group.partitioned.clear();
     let term = group.nodes[&leader].term();
     group.run(5_000);
     group.propose(4);
@@ -256,11 +257,11 @@
 }
 
 #[test]
-fn voters_survive_a_restart_of_all() {
-    let mut group = Group::founded(&[1, 2, 3]);
+fn voters_survive_a_restart_of_all_nodes() {
+    let mut group = Group::new(&[1, 2, 3]);
     group.run(2_000);
     group.start(9);
-    group.change(&[1, 2, 3, 9]);
+    group.change_voters(&[1, 2, 3, 9]);
     group.propose(1);
     for id in [1, 2, 3, 9] {
         group.stop(id);
