--- a/crates/state/src/assignment.rs
+++ b/crates/state/src/assignment.rs
@@ -1,6 +1,6 @@
-//! Replicas, machines and orders. The rules here hold whatever a controller asks for:
-//! a machine is held by at most one replica; epochs and fences only grow; a machine that was released is not
-//! held again before it has confirmed that it let go.
+//! Replicas, machines and orders. These invariants hold whatever a controller requests: a machine is held by at most
+//! one replica; epochs and fences only increase; a released machine is not assigned again before it has confirmed that
+//! it unloaded.
 
 use crate::command::Outcome;
 use crate::machine::Applied;
@@ -10,8 +10,8 @@
 use dockwood_api::{ApiError, ResultCode};
 use std::sync::Arc;
 
-/// Content and members of a replica's next epoch, checked.
-struct Plan {
+/// A replica's next epoch, validated.
+struct ReplicaPlan {
     row: ReplicaRow,
     weights_mib: u64,
 }
@@ -23,7 +23,7 @@
             Err(error) => Applied::refused(error.code(), error.message()),
             Ok(plan) => {
                 self.next_replica += 1;
-                Applied::touching(self.carry_out(plan, &[]))
+                Applied::with_changes(self.apply_plan(plan, &[]))
             }
         }
     }
@@ -35,7 +35,7 @@
         members: &[String],
         reason: &str,
     ) -> Applied {
-        let current = match self.replica_at(replica, epoch) {
+        let current = match self.replica_at_epoch(replica, epoch) {
             Err(error) => return Applied::outcome(Outcome::Refused(error)),
             Ok(current) => current,
         };
@@ -43,13 +43,13 @@
             Err(error) => Applied::refused(error.code(), error.message()),
             Ok(mut plan) => {
                 plan.row.watcher = current.watcher.clone();
-                Applied::touching(self.carry_out(plan, &current.members))
+                Applied::with_changes(self.apply_plan(plan, &current.members))
             }
         }
     }
 
     pub(crate) fn drain_replica(&mut self, replica: &str, epoch: u64, reason: &str) -> Applied {
-        let current = match self.replica_at(replica, epoch) {
+        let current = match self.replica_at_epoch(replica, epoch) {
             Err(error) => return Applied::outcome(Outcome::Refused(error)),
             Ok(current) => current,
         };
@@ -61,20 +61,20 @@
             ..ReplicaRow::clone(&current)
         };
         self.replicas.insert(replica.to_string(), Arc::new(row));
-        Applied::touching(vec![replica_key(replica)])
+        Applied::with_changes(vec![replica_key(replica)])
     }
 
     pub(crate) fn dissolve_replica(&mut self, replica: &str, epoch: u64) -> Applied {
-        let current = match self.replica_at(replica, epoch) {
+        let current = match self.replica_at_epoch(replica, epoch) {
             Err(error) => return Applied::outcome(Outcome::Refused(error)),
             Ok(current) => current,
         };
-        let mut touched = vec![replica_key(replica)];
+        let mut changed_keys = vec![replica_key(replica)];
         for server in &current.members {
-            self.release(server, &mut touched);
+            self.release(server, &mut changed_keys);
         }
         self.replicas.remove(replica);
-        Applied::touching(touched)
+        Applied::with_changes(changed_keys)
     }
 
     pub(crate) fn order_done(&mut self, server: &str, fence: u64) -> Applied {
@@ -83,19 +83,19 @@
             return Applied::refused(ResultCode::EpochStale, message);
         };
         if order.state == OrderState::Done {
-            return Applied::touching(Vec::new());
+            return Applied::with_changes(Vec::new());
         }
         let row = OrderRow { state: OrderState::Done, revision: self.revision, ..OrderRow::clone(&order) };
-        let mut touched = vec![order_key(&row.id)];
+        let mut changed_keys = vec![order_key(&row.id)];
         let loaded_for = match &row.action {
             OrderAction::Load(plan) => Some((plan.replica.clone(), plan.epoch)),
             OrderAction::Unload => None,
         };
         self.orders.insert(server.to_string(), Arc::new(row));
         if let Some((replica, epoch)) = loaded_for {
-            self.mark_serving_if_loaded(&replica, epoch, &mut touched);
+            self.mark_serving_if_loaded(&replica, epoch, &mut changed_keys);
         }
-        Applied::touching(touched)
+        Applied::with_changes(changed_keys)
     }
 
     pub(crate) fn repeat_order(&mut self, server: &str, fence: u64) -> Applied {
@@ -103,7 +103,7 @@
             let message = format!("order {fence} is not the newest to server '{server}'");
             return Applied::refused(ResultCode::EpochStale, message);
         };
-        let mut touched = Vec::new();
+        let mut changed_keys = Vec::new();
         if let OrderAction::Load(plan) = &order.action
             && let Some(replica) = self.replicas.get(&plan.replica).cloned()
             && replica.epoch == plan.epoch
@@ -116,22 +116,22 @@
                 reason: format!("server {server} lost its state and loads again"),
                 ..ReplicaRow::clone(&replica)
             };
-            touched.push(replica_key(&row.name));
+            changed_keys.push(replica_key(&row.name));
             self.replicas.insert(row.name.clone(), Arc::new(row));
         }
-        self.issue(server, order.action.clone(), &mut touched);
-        Applied::touching(touched)
+        self.issue_order(server, order.action.clone(), &mut changed_keys);
+        Applied::with_changes(changed_keys)
     }
 
-    /// A deleted server takes its rows along; [`Tables::dependants_of`] has made sure that it is not held.
-    pub(crate) fn forget_machine(&mut self, key: &ResourceKey) {
+    /// Removes the order of a deleted server; [`Tables::dependants_of`] has ensured that no replica holds the server.
+    pub(crate) fn remove_order(&mut self, key: &ResourceKey) {
         if key.kind == Kind::Server {
-            // The fence row stays: a server created again under this name must go on from there.
+            // The machine row with its fence stays: a server recreated under this name must continue from that fence.
             self.orders.remove(&key.name);
         }
     }
 
-    fn replica_at(&self, replica: &str, epoch: u64) -> Result<Arc<ReplicaRow>, ApiError> {
+    fn replica_at_epoch(&self, replica: &str, epoch: u64) -> Result<Arc<ReplicaRow>, ApiError> {
         let Some(current) = self.replicas.get(replica) else {
             return Err(ApiError::new(ResultCode::NotFound, format!("there is no replica '{replica}'")));
         };
@@ -149,7 +149,7 @@
         deployment: &str,
         members: &[String],
         reason: &str,
-    ) -> Result<Plan, ApiError> {
+    ) -> Result<ReplicaPlan, ApiError> {
         let not_found = |message: String| ApiError::new(ResultCode::NotFound, message);
         let spec =
             self.deployment(deployment).ok_or_else(|| not_found(format!("no deployment '{deployment}'")))?;
@@ -177,7 +177,7 @@
             since_ms: self.now_ms,
             reason: reason.to_string(),
         };
-        Ok(Plan { row, weights_mib: version.weights_mib.div_ceil(members.len() as u64) })
+        Ok(ReplicaPlan { row, weights_mib: version.weights_mib.div_ceil(members.len() as u64) })
     }
 
     fn check_members(&self, replica: &str, wanted: u32, members: &[String]) -> Result<(), ApiError> {
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    /// Not in another replica, and not still letting go of one.
+    /// Checks that no other replica holds the server, and that it has confirmed its release by the last one.
     fn check_available(&self, replica: &str, server: &str) -> Result<(), ApiError> {
         let holder = self.machines.get(server).and_then(|machine| machine.holder.as_ref());
         match holder {
@@ -218,11 +218,11 @@
         }
     }
 
-    fn carry_out(&mut self, plan: Plan, former_members: &[String]) -> Vec<ResourceKey> {
-        let mut touched = vec![replica_key(&plan.row.name)];
+    fn apply_plan(&mut self, plan: ReplicaPlan, former_members: &[String]) -> Vec<ResourceKey> {
+        let mut changed_keys = vec![replica_key(&plan.row.name)];
         for server in former_members {
             if !plan.row.members.contains(server) {
-                self.release(server, &mut touched);
+                self.release(server, &mut changed_keys);
             }
         }
         let members = self.member_addresses(&plan.row.members);
@@ -239,10 +239,10 @@
                 role: plan.row.role,
                 members: members.clone(),
             };
-            self.issue(server, OrderAction::Load(load), &mut touched);
+            self.issue_order(server, OrderAction::Load(load), &mut changed_keys);
         }
         self.replicas.insert(plan.row.name.clone(), Arc::new(plan.row));
-        touched
+        changed_keys
     }
 
     fn member_addresses(&self, members: &[String]) -> Vec<Member> {
@@ -253,12 +253,12 @@
         members.iter().filter_map(with_address).collect()
     }
 
-    fn release(&mut self, server: &str, touched: &mut Vec<ResourceKey>) {
+    fn release(&mut self, server: &str, changed_keys: &mut Vec<ResourceKey>) {
         self.machines.entry(server.to_string()).or_default().holder = None;
-        self.issue(server, OrderAction::Unload, touched);
+        self.issue_order(server, OrderAction::Unload, changed_keys);
     }
 
-    fn issue(&mut self, server: &str, action: OrderAction, touched: &mut Vec<ResourceKey>) {
+    fn issue_order(&mut self, server: &str, action: OrderAction, changed_keys: &mut Vec<ResourceKey>) {
         let machine: &mut MachineRow = self.machines.entry(server.to_string()).or_default();
         machine.fence += 1;
         let row = OrderRow {
@@ -270,11 +270,11 @@
             revision: self.revision,
             issued_ms: self.now_ms,
         };
-        touched.push(order_key(&row.id));
+        changed_keys.push(order_key(&row.id));
         self.orders.insert(server.to_string(), Arc::new(row));
     }
 
-    fn mark_serving_if_loaded(&mut self, replica: &str, epoch: u64, touched: &mut Vec<ResourceKey>) {
+    fn mark_serving_if_loaded(&mut self, replica: &str, epoch: u64, changed_keys: &mut Vec<ResourceKey>) {
         let Some(current) = self.replicas.get(replica).filter(|row| row.epoch == epoch).cloned() else {
             return;
         };
@@ -291,7 +291,7 @@
                 since_ms: self.now_ms,
                 ..ReplicaRow::clone(&current)
             };
-            touched.push(replica_key(replica));
+            changed_keys.push(replica_key(replica));
             self.replicas.insert(replica.to_string(), Arc::new(row));
         }
     }
--- a/crates/state/src/change.rs
+++ b/crates/state/src/change.rs
@@ -1,4 +1,5 @@
-//! Operators' changes: compare-and-set, and change ids that make a resend harmless.
+//! Operators' changes to resources: compare-and-set on the resource version, and change ids that make resends
+//! idempotent.
 
 use crate::command::{ChangeAction, ChangeRequest, Outcome};
 use crate::machine::{Applied, State};
@@ -9,36 +10,36 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Change ids that are remembered: more than two days' worth at the design size of 4,600 changes a day.
+/// Number of change ids that are retained: more than two days' worth at the design load of 4,600 changes a day.
 pub const CHANGE_RETENTION: usize = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct FirstAnswer {
+struct RecordedOutcome {
     content_digest: u64,
     outcome: Outcome,
 }
 
-/// First answers by change id, oldest forgotten first.
+/// Outcomes by change id; the oldest are evicted first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChangeTable {
-    answers: BTreeMap<String, FirstAnswer>,
+    answers: BTreeMap<String, RecordedOutcome>,
     order: VecDeque<String>,
 }
 
 impl ChangeTable {
-    /// The answer to a change that was seen before.
-    pub fn first_answer(&self, request: &ChangeRequest) -> Option<Outcome> {
-        let first = self.answers.get(&request.change_id)?;
-        if first.content_digest != request.content_digest {
+    /// The outcome for a change id that was seen before: the recorded one, or a refusal if the content differs.
+    pub fn recorded_outcome(&self, request: &ChangeRequest) -> Option<Outcome> {
+        let recorded = self.answers.get(&request.change_id)?;
+        if recorded.content_digest != request.content_digest {
             let message = format!("change id '{}' was used for another change", request.change_id);
             return Some(Outcome::Refused(ApiError::new(ResultCode::ChangeIdReused, message)));
         }
-        Some(Outcome::Resent(Box::new(first.outcome.clone())))
+        Some(Outcome::Resent(Box::new(recorded.outcome.clone())))
     }
 
-    fn remember(&mut self, request: &ChangeRequest, outcome: &Outcome) {
-        let first = FirstAnswer { content_digest: request.content_digest, outcome: outcome.clone() };
-        self.answers.insert(request.change_id.clone(), first);
+    fn record(&mut self, request: &ChangeRequest, outcome: &Outcome) {
+        let recorded = RecordedOutcome { content_digest: request.content_digest, outcome: outcome.clone() };
+        self.answers.insert(request.change_id.clone(), recorded);
         self.order.push_back(request.change_id.clone());
         if self.order.len() > CHANGE_RETENTION
             && let Some(oldest) = self.order.pop_front()
@@ -50,7 +51,7 @@
 
 impl State {
     pub(crate) fn apply_change(&mut self, request: &ChangeRequest) -> Applied {
-        if let Some(outcome) = self.changes.first_answer(request) {
+        if let Some(outcome) = self.changes.recorded_outcome(request) {
             return Applied::outcome(outcome);
         }
         let applied = match &request.action {
@@ -62,7 +63,7 @@
             ChangeAction::Apply(resource) => self.tables.create(resource),
             ChangeAction::Delete { key, resource_version } => self.tables.delete(key, *resource_version),
         };
-        self.changes.remember(request, &applied.outcome);
+        self.changes.record(request, &applied.outcome);
         applied
     }
 }
@@ -132,7 +133,7 @@
             return Applied::refused(ResultCode::HasDependants, message);
         }
         self.resources.remove(key);
-        self.forget_machine(key);
+        self.remove_order(key);
         Applied { outcome: Outcome::Deleted(key.clone()), touched: vec![key.clone()] }
     }
 }
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -1,15 +1,16 @@
-//! Claims: at most one dispatch of a request that must not be run twice.
+//! Claims: at-most-once dispatch of requests that must not be executed twice.
 //!
-//! A claim is committed before the first byte goes to a back end. Whoever asks again learns who holds it.
+//! A claim is committed before the first byte is sent to a backend. A later claim on the same request is answered with
+//! the holder.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a claim is kept, in milliseconds. At the peak of 930 requests a second with a third of them not
-/// repeatable, 5 minutes are about 93,000 rows.
+/// How long a claim is retained, in milliseconds. At the peak of 930 requests a second, a third of them not
+/// repeatable, 5 minutes amount to about 93,000 rows.
 pub const CLAIM_RETENTION_MS: u64 = 5 * 60 * 1000;
 
-/// Tenant and request id.
+/// Identifies a claim: tenant and request id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// Tenant resource name.
@@ -18,61 +19,61 @@
     pub request: String,
 }
 
-/// Asks for a claim.
+/// A request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// What is claimed.
+    /// The claimed request.
     pub key: ClaimKey,
     /// The daemon that will dispatch it.
     pub entry: String,
-    /// That daemon's attempt; a repeat of the same call carries the same.
+    /// Attempt number chosen by that daemon; a repetition of the same call carries the same number.
     pub attempt: u64,
     /// Digest of the request's content.
     pub content_digest: u64,
-    /// When the request id was made, where the id carries its time; 0 otherwise.
+    /// When the request id was created, in milliseconds since the Unix epoch, if the id carries its time; otherwise 0.
     pub created_ms: u64,
 }
 
-/// A standing claim.
+/// A claim that is held.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// The daemon that dispatches it.
     pub entry: String,
-    /// Its attempt.
+    /// That daemon's attempt number.
     pub attempt: u64,
     /// Digest of the request's content.
     pub content_digest: u64,
-    /// When it was committed.
+    /// When the claim was committed, in milliseconds since the Unix epoch.
     pub claimed_ms: u64,
-    /// Set once the outcome is known.
+    /// Result code of the request, once known.
     pub settled: Option<u16>,
 }
 
-/// Answer to a claim.
+/// The reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// The caller of this claim, and nobody else, may dispatch.
+    /// The caller holds the claim, and it alone may dispatch the request.
     Held,
-    /// Somebody claimed it before.
+    /// The request was already claimed; this is the existing claim.
     Taken(ClaimRow),
-    /// The id was used with other content.
+    /// The request id was already used with different content.
     ContentDiffers,
-    /// The id is older than claims are kept: whether it was run can't be told.
+    /// The request id is older than the claim retention, so it is unknown whether the request was executed.
     TooOld,
 }
 
-/// What became of a claimed request.
+/// The result of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimSettlement {
-    /// Which one.
+    /// The claimed request.
     pub key: ClaimKey,
-    /// The attempt that speaks.
+    /// The attempt that reports the result; ignored if it does not hold the claim.
     pub attempt: u64,
-    /// The result code it ended with; `None` withdraws a claim whose request certainly was not run.
+    /// Result code of the request; `None` withdraws the claim of a request that was certainly not executed.
     pub code: Option<u16>,
 }
 
-/// Claims by key, forgotten in order of age.
+/// Claims by key, expired in order of age.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClaimTable {
     rows: BTreeMap<ClaimKey, ClaimRow>,
@@ -80,12 +81,12 @@
 }
 
 impl ClaimTable {
-    /// Number of claims held.
+    /// Number of claims.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether no claim is held.
+    /// Whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -96,7 +97,7 @@
     }
 
     pub(crate) fn claim(&mut self, request: &ClaimRequest, now_ms: u64) -> ClaimVerdict {
-        self.forget_older_than(now_ms.saturating_sub(CLAIM_RETENTION_MS));
+        self.expire_older_than(now_ms.saturating_sub(CLAIM_RETENTION_MS));
         if request.created_ms != 0 && request.created_ms + CLAIM_RETENTION_MS <= now_ms {
             return ClaimVerdict::TooOld;
         }
@@ -132,7 +133,7 @@
         }
     }
 
-    fn forget_older_than(&mut self, limit_ms: u64) {
+    fn expire_older_than(&mut self, limit_ms: u64) {
         while let Some((claimed_ms, _)) = self.by_age.front()
             && *claimed_ms < limit_ms
         {
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of states, commands and outcomes: one format byte, then `postcard`.
+//! Encoding of states, commands and outcomes: one byte with the format version, followed by `postcard`.
 
 use crate::command::{Command, Outcome};
 use crate::machine::State;
@@ -8,11 +8,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// First byte of everything encoded here. A later format gets another byte and a reader for this one.
+/// First byte of commands and outcomes, and of states written by earlier versions. A later format takes another value,
+/// and this one stays readable.
 const FORMAT_VERSION: u8 = 3;
-/// First byte of a state that is followed by its table of suspicions; one of [`FORMAT_VERSION`] has none.
-const SUSPICION_VERSION: u8 = 4;
-/// First byte of a state that is followed by its table of suspicions and the starts of removed instances.
+/// First byte of a state that is followed by its suspicion table; a state of [`FORMAT_VERSION`] has none.
+const STATE_WITH_SUSPICION_VERSION: u8 = 4;
+/// First byte of a state that is followed by its suspicion table and the start times of removed instances.
 const STATE_VERSION: u8 = 5;
 
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -20,16 +21,17 @@
 }
 
 fn encode_as<T: Serialize>(version: u8, value: &T) -> Vec<u8> {
-    // Writing these types to memory can't fail: they hold no maps with unknown length and no foreign code.
+    // Serializing these types to memory can't fail: they contain no maps of unknown length and no foreign `Serialize`
+    // implementations.
     postcard::to_extend(value, vec![version]).unwrap_or_default()
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, ApiError> {
-    let unknown = |message: String| ApiError::new(ResultCode::FormatUnknown, message);
+    let format_error = |message: String| ApiError::new(ResultCode::FormatUnknown, message);
     match bytes.split_first() {
         Some((&FORMAT_VERSION, body)) => decode_body(body),
-        Some((version, _)) => Err(unknown(format!("format version {version}"))),
-        None => Err(unknown("no content".to_string())),
+        Some((version, _)) => Err(format_error(format!("format version {version}"))),
+        None => Err(format_error("no content".to_string())),
     }
 }
 
@@ -38,13 +40,13 @@
 }
 
 impl State {
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     pub fn encode(&self) -> Vec<u8> {
         let gateway = &self.tables.gateway;
         encode_as(STATE_VERSION, &(self, &gateway.suspicion, gateway.removed_starts()))
     }
 
-    /// Reads what [`State::encode`] wrote.
+    /// Decodes the output of [`State::encode`], also that of earlier versions.
     pub fn decode(bytes: &[u8]) -> Result<State, ApiError> {
         let mut state: State = match bytes.split_first() {
             Some((&STATE_VERSION, body)) => {
@@ -54,43 +56,43 @@
                 state.tables.gateway.restore_removed_starts(starts);
                 state
             }
-            Some((&SUSPICION_VERSION, body)) => {
+            Some((&STATE_WITH_SUSPICION_VERSION, body)) => {
                 let (mut state, suspicion): (State, SuspicionTable) = decode_body(body)?;
                 state.tables.gateway.suspicion = suspicion;
                 state
             }
             _ => decode(bytes)?,
         };
-        state.tables.gateway.suspicion.index();
-        state.tables.gateway.index_members();
+        state.tables.gateway.suspicion.rebuild_index();
+        state.tables.gateway.rebuild_memberships();
         Ok(state)
     }
 
-    /// The state as daemons need it that are not voters: without claims, and with the part of the gateway's tables that
-    /// routing needs.
+    /// Encodes the state for daemons that are not voters: without claims, and with only the part of the gateway's tables
+    /// that routing needs.
     pub fn encode_for_followers(&self) -> Vec<u8> {
-        let tables = Tables { gateway: self.tables.gateway.for_followers(), ..self.tables.clone() };
+        let tables = Tables { gateway: self.tables.gateway.for_non_voters(), ..self.tables.clone() };
         let state = State { tables, changes: self.changes.clone(), ..State::default() };
         state.encode()
     }
 }
 
-/// A command as bytes.
+/// Encodes a command.
 pub fn encode_command(command: &Command) -> Vec<u8> {
     encode(command)
 }
 
-/// Reads what [`encode_command`] wrote.
+/// Decodes the output of [`encode_command`].
 pub fn decode_command(bytes: &[u8]) -> Result<Command, ApiError> {
     decode(bytes)
 }
 
-/// An outcome as bytes.
+/// Encodes an outcome.
 pub fn encode_outcome(outcome: &Outcome) -> Vec<u8> {
     encode(outcome)
 }
 
-/// Reads what [`encode_outcome`] wrote.
+/// Decodes the output of [`encode_outcome`].
 pub fn decode_outcome(bytes: &[u8]) -> Result<Outcome, ApiError> {
     decode(bytes)
 }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -8,203 +8,207 @@
 use dockwood_api::resource::{Resource, ResourceKey};
 use serde::{Deserialize, Serialize};
 
-/// One entry's worth of change.
+/// One command, as a log entry carries it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// The proposer's wall clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What to do.
+    /// Content of the command.
     pub body: CommandBody,
 }
 
-/// What a command does.
+/// Content of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CommandBody {
     /// An operator's change of a resource.
     Change(ChangeRequest),
-    /// A daemon joins, or comes back after a restart. In logs of earlier versions; [`CommandBody::UpdateDaemons`] now.
+    /// A daemon joins, or rejoins after a restart. Found only in logs of earlier versions; replaced by
+    /// [`CommandBody::UpdateDaemons`].
     JoinDaemon {
-        /// Its record.
+        /// The daemon's record.
         record: DaemonRecord,
         /// Distinguishes restarts.
         incarnation: u64,
     },
-    /// A daemon's liveness changed. In logs of earlier versions; [`CommandBody::UpdateDaemons`] now.
+    /// A daemon's liveness changed. Found only in logs of earlier versions; replaced by
+    /// [`CommandBody::UpdateDaemons`].
     SetLiveness {
-        /// Its name.
+        /// Daemon name.
         daemon: String,
-        /// The incarnation that was observed.
+        /// The incarnation that was observed; the command is refused at any other.
         incarnation: u64,
-        /// What it became.
+        /// The new liveness.
         liveness: Liveness,
     },
-    /// Makes a replica of free machines.
+    /// Forms a replica from free machines.
     FormReplica {
         /// The deployment.
         deployment: String,
         /// Server names, head first; all in one domain.
         members: Vec<String>,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
-    /// Gives a replica a new epoch with other members, or the deployment's new content.
+    /// Moves a replica to a new epoch, with other members or with the deployment's current version and adapters.
     ReformReplica {
         /// The replica.
         replica: String,
-        /// The epoch that the decision was made on.
+        /// The epoch that the decision was based on.
         epoch: u64,
         /// Server names, head first; new ones must be free.
         members: Vec<String>,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
     /// Stops new work on a replica.
     DrainReplica {
         /// The replica.
         replica: String,
-        /// The epoch that the decision was made on.
+        /// The epoch that the decision was based on.
         epoch: u64,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
     /// Ends a replica and releases its machines.
     DissolveReplica {
         /// The replica.
         replica: String,
-        /// The epoch that the decision was made on.
+        /// The epoch that the decision was based on.
         epoch: u64,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
-    /// A machine confirmed its order.
+    /// A machine confirmed that it carried out its order.
     OrderDone {
         /// The machine.
         server: String,
         /// The order's fence.
         fence: u64,
     },
-    /// Issues a machine's last order again under a higher fence, after the machine lost its state.
+    /// Reissues a machine's last order under a higher fence, after the machine lost its state.
     RepeatOrder {
         /// The machine.
         server: String,
-        /// The fence that the decision was made on.
+        /// The fence that the decision was based on.
         fence: u64,
     },
-    /// Names a pool's coordinator and standby.
+    /// Assigns a pool's coordinator and standby.
     AssignPool {
         /// The pool.
         pool: String,
         /// The daemon that grants slots.
         coordinator: Option<String>,
-        /// The daemon that takes over.
+        /// The daemon that takes over if the coordinator fails.
         standby: Option<String>,
     },
-    /// Names a replica's watcher.
+    /// Assigns a replica's watcher.
     AssignWatcher {
         /// The replica.
         replica: String,
-        /// The daemon that gathers evidence.
+        /// The daemon that collects health evidence on the replica.
         watcher: Option<String>,
     },
-    /// A change of the gateway's tables.
+    /// A change to the gateway's tables.
     Gateway(GatewayCommand),
     /// Claims on request ids, held by voters only.
     Claim(Vec<ClaimRequest>),
-    /// What became of claimed requests.
+    /// Results of claimed requests.
     SettleClaims(Vec<ClaimSettlement>),
-    /// Daemons join, or their liveness changes. Together they take one revision: after a power loss a thousand daemons
-    /// change at once, and a revision for each would have to reach each of them.
+    /// Daemons join, or their liveness changes. A batch takes a single revision: after a power loss a thousand daemons
+    /// change at once, and one revision for each would have to be sent to every daemon.
     UpdateDaemons(Vec<DaemonUpdate>),
 }
 
-/// What changes about one daemon.
+/// A change to one daemon's row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DaemonUpdate {
-    /// It joins, or comes back.
+    /// The daemon joins, or rejoins after a restart.
     Joined {
-        /// Its record.
+        /// The daemon's record.
         record: DaemonRecord,
         /// Distinguishes restarts.
         incarnation: u64,
     },
-    /// Its liveness changed.
+    /// The daemon's liveness changed.
     Liveness {
-        /// Its name.
+        /// Daemon name.
         daemon: String,
-        /// The incarnation in its row.
+        /// The incarnation that the daemon's row must have.
         incarnation: u64,
-        /// What it became.
+        /// The new liveness.
         liveness: Liveness,
     },
 }
 
 impl CommandBody {
-    /// Claims are kept by voters alone: they take no configuration revision and go to no other daemon.
+    /// Whether the command takes a configuration revision and is sent to all daemons. Claims are not: only voters keep
+    /// them.
     pub const fn is_configuration(&self) -> bool {
         !matches!(self, CommandBody::Claim(_) | CommandBody::SettleClaims(_))
     }
 }
 
 impl Command {
-    /// What daemons that are not voters need of a command that has just been applied to `tables`; `None` if it changes
-    /// nothing for them. They route requests: they need no servers of model engines, and groups only once these serve.
+    /// The form in which a command that was just applied to `tables` is sent to daemons that are not voters; `None` if
+    /// it changes nothing for them. They only route requests, so they need no rows of model engines, and groups only
+    /// once these serve.
     pub fn for_followers(&self, tables: &Tables) -> Option<Command> {
         let body = match &self.body {
-            CommandBody::Gateway(command) => CommandBody::Gateway(command.for_followers(&tables.gateway)?),
+            CommandBody::Gateway(command) => CommandBody::Gateway(command.for_non_voters(&tables.gateway)?),
             other => other.clone(),
         };
         Some(Command { at_ms: self.at_ms, body })
     }
 }
 
-/// An operator's change.
+/// A change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRequest {
     /// The operator's change id; a resend carries the same.
     pub change_id: String,
-    /// Digest of what was asked for.
+    /// Digest of the requested content.
     pub content_digest: u64,
-    /// What was asked for.
+    /// The requested action.
     pub action: ChangeAction,
 }
 
-/// What an operator asks for.
+/// An action that an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ChangeAction {
-    /// Create; refused if the name is taken.
+    /// Creates a resource; refused if the name is taken.
     Create(Resource),
-    /// Replace labels and spec; `metadata.resource_version` is compared unless 0.
+    /// Replaces labels and spec; `metadata.resource_version` is compared unless it is 0.
     Update(Resource),
-    /// Create, or replace as above.
+    /// Creates the resource, or updates it if it exists.
     Apply(Resource),
-    /// Delete.
+    /// Deletes a resource.
     Delete {
-        /// What.
+        /// The resource.
         key: ResourceKey,
-        /// Compared unless 0.
+        /// Expected resource version; not compared if 0.
         resource_version: u64,
     },
 }
 
-/// What applying a command led to.
+/// The outcome of applying a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Done, with nothing to show.
+    /// Applied; there is no content to return.
     Applied,
-    /// The resource as it is now.
+    /// The resource was created or updated.
     Stored {
-        /// As stored.
+        /// The resource as stored.
         resource: Resource,
-        /// False if it was so already.
+        /// False if the resource already had this content.
         changed: bool,
     },
-    /// The resource is gone.
+    /// The resource was deleted.
     Deleted(ResourceKey),
-    /// Compare-and-set lost against this.
+    /// Compare-and-set failed; this is the current resource.
     Conflict(Resource),
-    /// Nothing was changed.
+    /// The command was refused and changed nothing.
     Refused(ApiError),
-    /// A change id was seen before; this was its first outcome.
+    /// The change id was seen before; this is its original outcome.
     Resent(Box<Outcome>),
     /// One verdict for each claim.
     Claims(Vec<ClaimVerdict>),
--- a/crates/state/src/fleet.rs
+++ b/crates/state/src/daemons.rs
@@ -1,4 +1,4 @@
-//! Daemons and their duties.
+//! Changes to daemons' rows, and the assignment of coordinators and watchers.
 
 use crate::command::DaemonUpdate;
 use crate::machine::Applied;
@@ -24,7 +24,7 @@
             since_ms: self.now_ms,
         };
         self.daemons.insert(record.name.clone(), Arc::new(row));
-        Applied::touching(vec![daemon_key(&record.name)])
+        Applied::with_changes(vec![daemon_key(&record.name)])
     }
 
     pub(crate) fn set_liveness(&mut self, daemon: &str, incarnation: u64, liveness: Liveness) -> Applied {
@@ -42,12 +42,12 @@
             ..DaemonRow::clone(current)
         };
         self.daemons.insert(daemon.to_string(), Arc::new(row));
-        Applied::touching(vec![daemon_key(daemon)])
+        Applied::with_changes(vec![daemon_key(daemon)])
     }
 
-    /// Applies each update that fits; one that came too late changes nothing.
+    /// Applies each update that is still valid; an outdated one changes nothing.
     pub(crate) fn update_daemons(&mut self, updates: &[DaemonUpdate]) -> Applied {
-        let mut touched = Vec::with_capacity(updates.len());
+        let mut changed_keys = Vec::with_capacity(updates.len());
         for update in updates {
             let applied = match update {
                 DaemonUpdate::Joined { record, incarnation } => self.join_daemon(record, *incarnation),
@@ -55,9 +55,9 @@
                     self.set_liveness(daemon, *incarnation, *liveness)
                 }
             };
-            touched.extend(applied.touched);
+            changed_keys.extend(applied.touched);
         }
-        Applied::touching(touched)
+        Applied::with_changes(changed_keys)
     }
 
     pub(crate) fn assign_pool(
@@ -68,7 +68,7 @@
     ) -> Applied {
         if self.deployment(pool).is_none() {
             self.pools.remove(pool);
-            return Applied::touching(Vec::new());
+            return Applied::with_changes(Vec::new());
         }
         let row: &mut PoolRow = self.pools.entry(pool.to_string()).or_default();
         if row.coordinator.as_deref() != coordinator {
@@ -76,7 +76,7 @@
         }
         row.coordinator = coordinator.map(str::to_string);
         row.standby = standby.map(str::to_string);
-        Applied::touching(vec![ResourceKey::new(Kind::Deployment, pool)])
+        Applied::with_changes(vec![ResourceKey::new(Kind::Deployment, pool)])
     }
 
     pub(crate) fn assign_watcher(&mut self, replica: &str, watcher: Option<&str>) -> Applied {
@@ -89,7 +89,7 @@
             ..ReplicaRow::clone(current)
         };
         self.replicas.insert(replica.to_string(), Arc::new(row));
-        Applied::touching(vec![ResourceKey::new(Kind::Replica, replica)])
+        Applied::with_changes(vec![ResourceKey::new(Kind::Replica, replica)])
     }
 }
 
--- a/crates/state/src/gateway/command.rs
+++ b/crates/state/src/gateway/command.rs
@@ -1,4 +1,4 @@
-//! Changes of the gateway's tables.
+//! Commands that change the gateway's tables.
 
 use super::GatewayTables;
 use super::rows::{GroupPhase, GroupPurpose, GroupRow, InstanceRow};
@@ -7,112 +7,114 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A change of the gateway's tables.
+/// A change to the gateway's tables.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GatewayCommand {
-    /// Takes a configuration, unless the one held has the same or a higher version.
+    /// Installs a configuration, unless the current one has the same or a higher version.
     Configure(Arc<GatewayConfiguration>),
-    /// Notes a report that changes what routing knows of an instance.
+    /// Stores a report that changes what routing knows about an instance.
     Register(InstanceRow),
-    /// An instance signed off: it takes no new work, and no later report of it counts.
+    /// An instance deregistered: it takes no new work, and its later reports are ignored.
     SignOff {
         /// Instance id.
         id: String,
     },
-    /// Forgets an instance for good.
+    /// Removes an instance permanently.
     Remove {
         /// Instance id.
         id: String,
     },
-    /// Makes a group of free instances.
+    /// Forms a group from free instances.
     Form {
         /// Service.
         service: String,
         /// Model.
         model: String,
-        /// What for.
+        /// Purpose of the group.
         purpose: GroupPurpose,
         /// Instance ids, head first.
         members: Vec<String>,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
-    /// Ends a group that was formed to preload its model: all members were ready.
+    /// Ends a group that was formed to preload its model, after all members were ready.
     Preloaded {
         /// Group epoch.
         epoch: u64,
     },
-    /// Brings a group to another phase.
+    /// Moves a group to another phase.
     SetPhase {
         /// Group epoch.
         epoch: u64,
-        /// The phase.
+        /// The new phase.
         phase: GroupPhase,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
-    /// A member has left a group that is being closed; it is free, and the group remains until its head has closed.
+    /// A member has left a group that is being closed. The member is free; the group remains until its head has closed.
     Release {
         /// Group epoch.
         epoch: u64,
         /// Instance id; never the head.
         member: String,
     },
-    /// Ends a group; its members are free.
+    /// Ends a group and frees its members.
     End {
         /// Group epoch.
         epoch: u64,
-        /// Why.
+        /// Reason shown to operators.
         reason: String,
     },
-    /// Evacuates a zone, or ends its evacuation; refused if another call that asked for the opposite came first.
+    /// Evacuates a zone, or ends its evacuation; refused if a call that requested the opposite was applied first.
     SetEvacuation {
         /// Zone.
         zone: String,
-        /// Whether requests are to be kept away from its servers.
+        /// Whether to stop routing requests to the zone's servers.
         evacuated: bool,
-        /// The generation that it was decided on.
+        /// The generation that the decision was based on.
         generation: u64,
     },
-    /// Notes that callers have begun to send requests.
+    /// Records that callers have begun to send requests.
     NoteRequests,
-    /// Takes a group as it is, at daemons that are not voters: they learn of it once it serves.
+    /// Inserts a complete group row, on daemons that are not voters: they receive a group only once it serves.
     Adopt(Arc<GroupRow>),
-    /// A server's process has ended while it had requests.
+    /// A server process ended while it was running requests.
     ServerEnded(ServerEnd),
-    /// Asks for a trial of a suspect at a server; refused while another one is under way, or if the server is taken.
+    /// Requests a trial of a suspect request on a server; refused while another trial of the request is running, or if
+    /// the server is running a trial of another suspect.
     BeginTrial(TrialRequest),
-    /// A trial has ended without telling anything.
+    /// A trial ended without a result.
     EndTrial {
-        /// What the request is recognised by.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
         /// The trial.
         trial: u64,
     },
-    /// Nothing speaks against a request any more.
+    /// Clears a request of all suspicion.
     ClearRequest {
-        /// What it is recognised by.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Who found so, and why.
+        /// Who cleared it, and why.
         reason: String,
     },
-    /// Forgets what is old of requests under which servers ended.
+    /// Removes expired crashes, quarantines and trials.
     ExpireSuspicions {
-        /// The proposer's time, in milliseconds since the Unix epoch.
+        /// The proposer's wall clock, in milliseconds since the Unix epoch.
         at_ms: u64,
     },
 }
 
 impl GatewayCommand {
-    /// What daemons that are not voters need of a command that has just been applied to `tables`.
-    pub(crate) fn for_followers(&self, tables: &GatewayTables) -> Option<GatewayCommand> {
+    /// The form in which a command that was just applied to `tables` is sent to daemons that are not voters, if they
+    /// need it.
+    pub(crate) fn for_non_voters(&self, tables: &GatewayTables) -> Option<GatewayCommand> {
         match self {
             GatewayCommand::Configure(configuration) => {
                 Some(GatewayCommand::Configure(Arc::new(configuration.without_document())))
             }
             GatewayCommand::Register(row) if row.is_engine() => engine_registered(tables, &row.id),
             GatewayCommand::Register(_) => Some(self.clone()),
-            // They don't know which engines leave.
+            // Non-voters don't hold engines, so they can't tell which of them are leaving.
             GatewayCommand::ServerEnded(end) if tables.is_leaving(&end.instance) => None,
             GatewayCommand::ServerEnded(_) => Some(self.clone()),
             GatewayCommand::SetPhase { epoch, phase: GroupPhase::Open, .. } => {
@@ -137,8 +139,8 @@
     }
 }
 
-/// What the report of a model server changes for daemons that are not voters: its group as it is now, if it heads it; that
-/// its group has ended to serve, if it has started again.
+/// What a model engine's report changes for daemons that are not voters: if the engine restarted, its group no longer
+/// serves; if the engine is the head of a serving group, the group's current row.
 fn engine_registered(tables: &GatewayTables, id: &str) -> Option<GatewayCommand> {
     let group = tables.group_of(id)?;
     if group.phase == GroupPhase::Cutting {
--- a/crates/state/src/gateway/evacuation.rs
+++ b/crates/state/src/gateway/evacuation.rs
@@ -1,7 +1,7 @@
-//! Evacuated zones, whose servers are sent no requests.
+//! Evacuated zones, to whose servers no requests are routed.
 //!
-//! Invariant: of two calls that were decided on the same generation, and that ask for different things, only the first
-//! takes effect.
+//! Invariant: of two calls that are based on the same generation and request opposite states, only the first takes
+//! effect.
 
 use super::GatewayTables;
 use super::rows::{Evacuation, GroupRow, InstanceRow};
@@ -10,29 +10,30 @@
 use std::sync::Arc;
 
 impl GatewayTables {
-    /// Whether requests are kept away from the servers of a zone.
+    /// Whether a zone is evacuated, so that no requests are routed to its servers.
     pub fn is_evacuated(&self, zone: &str) -> bool {
-        self.evacuations.get(zone).is_some_and(|held| held.evacuated)
+        self.evacuations.get(zone).is_some_and(|row| row.evacuated)
     }
 
-    /// How often a call has set a zone's evacuation: what the next call has to name.
+    /// The zone's evacuation generation, which the next call has to carry.
     pub fn evacuation_generation(&self, zone: &str) -> u64 {
-        self.evacuations.get(zone).map_or(0, |held| held.generation)
+        self.evacuations.get(zone).map_or(0, |row| row.generation)
     }
 
-    /// Zones that are evacuated now.
+    /// Zones that are currently evacuated.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
-        let evacuated = self.evacuations.iter().filter(|(_, held)| held.evacuated);
+        let evacuated = self.evacuations.iter().filter(|(_, row)| row.evacuated);
         evacuated.map(|(zone, _)| zone.as_str())
     }
 
-    /// A call that finds the zone as it asks for takes a generation too: an opposite call that was decided before it
-    /// may still be on its way, and must not take effect after this one was acknowledged.
+    /// Sets a zone's evacuation. A call that finds the zone already in the requested state also increments the
+    /// generation: an opposite call that was issued earlier may still be in flight, and must not take effect after this
+    /// one was acknowledged.
     pub(super) fn set_evacuation(&mut self, zone: &str, evacuated: bool, generation: u64) -> Applied {
         let was_evacuated = self.is_evacuated(zone);
         if self.evacuation_generation(zone) != generation {
             if was_evacuated == evacuated {
-                return Applied::touching(Vec::new());
+                return Applied::with_changes(Vec::new());
             }
             return Applied::refused(
                 ResultCode::EvacuationOvertaken,
@@ -42,14 +43,14 @@
         let next = Evacuation { evacuated, generation: generation + 1 };
         self.evacuations.insert(zone.to_string(), next);
         if was_evacuated && !evacuated {
-            self.presume_cold(zone);
+            self.mark_zone_cold(zone);
         }
-        Applied::touching(Vec::new())
+        Applied::with_changes(Vec::new())
     }
 
-    /// Servers that were sent nothing for a while may have lost their caches; until their next report says otherwise
-    /// they are taken to be cold. Followers hold fewer rows, and come to the same result for those that they hold.
-    fn presume_cold(&mut self, zone: &str) {
+    /// Marks a zone's servers as cold until their next report says otherwise: they may have lost their caches while they
+    /// received no requests. Non-voters hold fewer rows, and get the same result for those that they hold.
+    fn mark_zone_cold(&mut self, zone: &str) {
         let instances: Vec<Arc<InstanceRow>> = self
             .instances
             .values()
--- a/crates/state/src/gateway/rows.rs
+++ b/crates/state/src/gateway/rows.rs
@@ -4,107 +4,107 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A registered instance, as far as routing needs it.
+/// A registered instance, reduced to what routing needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRow {
-    /// Identifies one start of a server, unless it keeps its id when it starts again.
+    /// Identifies one run of a server process, unless the server keeps its id across restarts.
     pub id: String,
-    /// When its process started, in milliseconds since the Unix epoch; `None` if it doesn't tell.
+    /// When its process started, in milliseconds since the Unix epoch; `None` if not reported.
     pub started_ms: Option<u64>,
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Address.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Zone.
+    /// Zone name.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: InstanceState,
-    /// It said last that it is cold, or is presumed to be.
+    /// Whether it is cold, according to its last report or presumed after an evacuation.
     pub is_cold: bool,
-    /// Fabric domain, for a model server.
+    /// Fabric domain; set for model engines only.
     pub domain: Option<String>,
 }
 
-/// Where a group stands.
+/// Lifecycle phase of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum GroupPhase {
     /// Members are loading.
     Forming,
-    /// All members are ready; the head is being told to open.
+    /// All members are ready; the head is being ordered to open.
     Opening,
-    /// It serves.
+    /// The group serves requests.
     Open,
-    /// The head is being told to close; running requests are finished.
+    /// The head is being ordered to close; running requests may finish.
     Draining,
-    /// The head is being told to close; running requests are cut off.
+    /// The head is being ordered to close; running requests are aborted.
     Cutting,
 }
 
-/// Whether requests are kept away from a zone's servers.
+/// Evacuation state of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Whether they are.
+    /// Whether the zone is evacuated, so that no requests are routed to its servers.
     pub evacuated: bool,
-    /// Grows with each call that was not overtaken. A call names the generation that it was decided on, so that one
-    /// that was overtaken changes nothing.
+    /// Incremented by each call that is not outdated. A call carries the generation that it is based on, so that an outdated
+    /// call changes nothing.
     pub generation: u64,
 }
 
-/// What a group is formed for.
+/// Purpose of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum GroupPurpose {
-    /// To serve.
+    /// Serve requests.
     Serve,
-    /// To have its members load a model, and then to end: a server rejoins the model of its last group at once,
-    /// whatever its host stages afterwards. Such a group may be of any size, and never opens.
+    /// Make the members load a model, then end: a server rejoins a group of its last model immediately, whatever its
+    /// host stages afterwards. Such a group may have any size, and never opens.
     Preload,
 }
 
-/// Instances that serve a model together.
+/// A group of instances that together serve a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRow {
-    /// Unique over all time; grows.
+    /// Unique and increasing; never reused.
     pub epoch: u64,
-    /// Name, as told to the servers.
+    /// Group name, as sent to the servers.
     pub name: String,
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Model.
+    /// Model name.
     pub model: String,
     /// Instance ids, head first.
     pub members: Vec<String>,
     /// Address of the head.
     pub head: SocketAddr,
-    /// When the head's process started, in milliseconds since the Unix epoch; `None` if it doesn't tell.
+    /// When the head's process started, in milliseconds since the Unix epoch; `None` if not reported.
     pub head_started_ms: Option<u64>,
     /// Zone of the head.
     pub zone: String,
-    /// The head, which alone is sent requests, is cold.
+    /// Whether the head, the only member that receives requests, is cold.
     pub head_is_cold: bool,
-    /// What it is formed for.
+    /// Purpose of the group.
     pub purpose: GroupPurpose,
-    /// Where it stands.
+    /// Lifecycle phase.
     pub phase: GroupPhase,
-    /// Why it was formed, or brought to its phase.
+    /// Why it was formed or moved to its phase.
     pub reason: String,
 }
 
 impl InstanceRow {
-    /// Whether it is a model engine: these alone stand in fabric domains.
+    /// Whether it is a model engine: only these belong to fabric domains.
     pub fn is_engine(&self) -> bool {
         self.domain.is_some()
     }
 }
 
 impl GroupRow {
-    /// Whether requests may be in flight at it.
+    /// Whether the group may have requests in flight.
     pub fn serves(&self) -> bool {
         matches!(self.phase, GroupPhase::Open | GroupPhase::Draining)
     }
 
-    /// Whether an instance is its head.
+    /// Whether an instance is the head of the group.
     pub fn is_headed_by(&self, id: &str) -> bool {
         self.members.first().is_some_and(|head| head == id)
     }
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: one place where commands are applied.
+//! The state machine: applies every command of the replicated log.
 
 use crate::change::ChangeTable;
 use crate::claim::ClaimTable;
@@ -9,40 +9,41 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Everything that the log replicates.
+/// The whole replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     /// Tables that every daemon holds.
     pub tables: Tables,
-    /// First answers to operators' changes.
+    /// Recorded outcomes of operators' changes, which answer resends.
     pub changes: ChangeTable,
     /// Claims on request ids; complete at voters only.
     pub claims: ClaimTable,
-    /// Voters of the control group by its log; empty if they never changed, and at daemons that are not voters.
+    /// Voters of the control group according to its log; empty if the membership never changed, and on daemons that
+    /// are not voters.
     pub voters: Vec<ControlVoter>,
 }
 
 /// A voter of the control group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlVoter {
-    /// Its id.
+    /// Node id.
     pub id: u64,
-    /// Its peer address.
+    /// Peer address.
     pub address: SocketAddr,
 }
 
-/// The result of one command.
+/// The result of applying one command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// For the proposer.
+    /// Returned to the proposer.
     pub outcome: Outcome,
-    /// What changed, for watches and the time line.
+    /// Keys of the resources that changed, for watches and the timeline.
     pub touched: Vec<ResourceKey>,
 }
 
 impl Applied {
-    pub(crate) fn touching(touched: Vec<ResourceKey>) -> Self {
-        Applied { outcome: Outcome::Applied, touched }
+    pub(crate) fn with_changes(changed_keys: Vec<ResourceKey>) -> Self {
+        Applied { outcome: Outcome::Applied, touched: changed_keys }
     }
 
     pub(crate) fn outcome(outcome: Outcome) -> Self {
@@ -55,8 +56,8 @@
 }
 
 impl State {
-    /// Applies one command. Every configuration command takes one revision, whether or not it was refused, so
-    /// that revisions count commands and can be compared between daemons.
+    /// Applies one command. Every configuration command increments the revision, even if it is refused, so that
+    /// revisions count commands and can be compared between daemons.
     pub fn apply(&mut self, command: &Command) -> Applied {
         let tables = &mut self.tables;
         tables.now_ms = tables.now_ms.max(command.at_ms);
--- a/crates/state/src/reference.rs
+++ b/crates/state/src/reference.rs
@@ -1,4 +1,5 @@
-//! References between resources: what a spec may name, and what stands in the way of a deletion.
+//! References between resources: checks that a spec names existing resources, and finds the dependants that prevent a
+//! deletion.
 
 use crate::tables::Tables;
 use dockwood_api::resource::{
@@ -7,7 +8,7 @@
 use dockwood_api::{ApiError, ResultCode};
 
 impl Tables {
-    /// Whether everything that the resource names exists, and nothing clashes with another resource.
+    /// Checks that every resource named in the spec exists, and that nothing conflicts with another resource.
     pub(crate) fn check_references(&self, resource: &Resource) -> Result<(), ApiError> {
         let mut problems = Vec::new();
         match &resource.spec {
@@ -15,7 +16,7 @@
             Spec::Deployment(spec) => self.check_deployment(spec, &mut problems),
             Spec::Server(spec) => self.check_server(&resource.metadata.name, spec, &mut problems),
             Spec::Service(spec) => self.check_service(spec, &mut problems),
-            Spec::Model(_) => self.check_kept_versions(resource, &mut problems),
+            Spec::Model(_) => self.check_versions_in_use(resource, &mut problems),
             Spec::Tenant(_) => self.check_tenant_keys(resource, &mut problems),
         }
         if problems.is_empty() {
@@ -44,8 +45,8 @@
             match self.adapter(name) {
                 None => problems.push(format!("spec.adapters[{position}]: there is no adapter '{name}'")),
                 Some(adapter) if adapter.model != spec.model || adapter.version != spec.version => {
-                    let runs_on = format!("{} {}", adapter.model, adapter.version);
-                    problems.push(format!("spec.adapters[{position}]: '{name}' runs on {runs_on}"));
+                    let base = format!("{} {}", adapter.model, adapter.version);
+                    problems.push(format!("spec.adapters[{position}]: '{name}' runs on {base}"));
                 }
                 Some(_) => {}
             }
@@ -68,8 +69,8 @@
             }
         }
         let Some(current) = self.server(own_name) else { return };
-        let place_changed = (&current.domain, current.address) != (&spec.domain, spec.address);
-        if place_changed && !self.is_free(own_name) {
+        let location_changed = (&current.domain, current.address) != (&spec.domain, spec.address);
+        if location_changed && !self.is_free(own_name) {
             problems.push("spec.domain, spec.address: the server is in use; drain it first".to_string());
         }
     }
@@ -83,8 +84,8 @@
         }
     }
 
-    /// A version that is deployed can't be taken out of its model.
-    fn check_kept_versions(&self, resource: &Resource, problems: &mut Vec<String>) {
+    /// Reports versions that the new spec drops although a deployment or adapter still uses them.
+    fn check_versions_in_use(&self, resource: &Resource, problems: &mut Vec<String>) {
         let Spec::Model(spec) = &resource.spec else { return };
         let name = &resource.metadata.name;
         let used_by_deployments =
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Resources and replicas that need `key`, by display name.
+    /// Display names of the resources and replicas that depend on `key`.
     pub(crate) fn dependants_of(&self, key: &ResourceKey) -> Vec<String> {
         let name = key.name.as_str();
         let deployment_name = |name: &str| ResourceKey::new(Kind::Deployment, name).to_string();
--- a/crates/state/src/suspicion/mod.rs
+++ b/crates/state/src/suspicion/mod.rs
@@ -1,11 +1,12 @@
-//! Requests under which servers end: evidence, attribution, quarantine.
+//! Requests that crash servers: evidence, attribution and quarantine.
 //!
-//! A server runs many requests at once, and its end throws suspicion on each of them. Here the evidence of all daemons
-//! is summed, by the log, so that every daemon knows the same within the time that any change takes, and no restart or
-//! election forgets it. docs/design/requests-that-end-servers.md tells what was weighed.
+//! A server runs many requests at once, and its crash makes each of them a suspect. The reports of all daemons are
+//! aggregated here through the replicated log, so that every daemon has the same view as soon as a change propagates,
+//! and restarts and elections lose nothing. The design and its alternatives are discussed in
+//! docs/design/requests-that-end-servers.md.
 //!
-//! Invariants: a request is tried at one server at a time; a request that was answered whole is under no suspicion; what
-//! is kept is bounded whatever callers send.
+//! Invariants: a suspect is tried on one server at a time; a request that received a complete response is not suspected;
+//! the size of the table is bounded whatever callers send.
 
 mod rows;
 mod table;
--- a/crates/state/src/suspicion/rows.rs
+++ b/crates/state/src/suspicion/rows.rs
@@ -1,155 +1,156 @@
-//! Rows on requests that may end the servers that run them.
+//! Rows of the suspicion table.
 
 use dockwood_api::gateway::Fingerprint;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// One try of a request that a server had when its process ended.
+/// An attempt of a request that a server was running when its process ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectTry {
-    /// What the request is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The caller's id of this try; empty if it sent none.
+    /// The caller's request id for this attempt; empty if it sent none.
     pub request: String,
-    /// The caller's tenant.
+    /// Tenant of the caller.
     pub tenant: Option<String>,
-    /// The route that it came by.
+    /// Route on which the request arrived.
     pub route: String,
 }
 
-/// One daemon's word on the end of a server's process, with the requests that it had sent there.
+/// One daemon's report that a server process ended, with the requests that the daemon had sent to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEnd {
     /// Instance id of the server.
     pub instance: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// When that daemon saw it, in milliseconds since the Unix epoch; a repetition of its word carries the same.
+    /// When the daemon observed it, in milliseconds since the Unix epoch; a repeated report carries the same time.
     pub at_ms: u64,
-    /// The daemon that saw it.
+    /// The reporting daemon.
     pub daemon: String,
-    /// What the server had of that daemon's.
+    /// Attempts that the daemon had in flight on the server.
     pub tries: Vec<SuspectTry>,
 }
 
-/// The end of a server's process, as all daemons together told it, while no request is known to have caused it.
+/// The crash of a server process, aggregated from the reports of all daemons, for as long as no request is known to have
+/// caused it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRow {
-    /// Unique over all time; grows.
+    /// Unique and increasing; never reused.
     pub number: u64,
     /// Instance id of the server.
     pub instance: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// When it was told first, in milliseconds since the Unix epoch.
+    /// When it was first reported, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Requests that it had, each once.
+    /// Requests that the server was running, each once.
     pub suspects: Vec<Suspect>,
 }
 
-/// A request that a server had when it ended.
+/// A request that a server was running when it crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The try that the server had.
+    /// The attempt on that server.
     pub tried: SuspectTry,
-    /// The daemon that told of it.
+    /// The daemon that reported it.
     pub daemon: String,
 }
 
 impl CrashRow {
-    /// The suspect with a fingerprint, if the server had that request.
+    /// The suspect with a fingerprint, if the server was running that request.
     pub fn suspect(&self, fingerprint: Fingerprint) -> Option<&Suspect> {
         self.suspects.iter().find(|suspect| suspect.tried.fingerprint == fingerprint)
     }
 }
 
-/// One server's end that counts against a request in quarantine.
+/// A server crash that counts against a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Instance id of the server.
     pub instance: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// When it was told, in milliseconds since the Unix epoch.
+    /// When the crash was reported, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The caller's id of the try that it had.
+    /// The caller's request id for the attempt on that server.
     pub request: String,
-    /// The daemon that told of it.
+    /// The daemon that reported it.
     pub daemon: String,
 }
 
-/// A request that no daemon sends to a server.
+/// A request that is quarantined, so that no daemon sends it to a server, or on probation afterwards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRow {
-    /// What it is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The caller's tenant.
+    /// Tenant of the caller.
     pub tenant: Option<String>,
-    /// The route that it came by.
+    /// Route on which the request arrived.
     pub route: String,
-    /// Since when, in milliseconds since the Unix epoch.
+    /// Start of the quarantine, in milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// Until when; afterwards it is on probation for as long again.
+    /// End of the quarantine, in milliseconds since the Unix epoch; a probation of the same length follows.
     pub until_ms: u64,
-    /// How often it was put under quarantine without having been cleared.
+    /// Number of consecutive quarantines without having been cleared.
     pub offences: u32,
-    /// The servers that ended under it.
+    /// Server crashes attributed to the request.
     pub evidence: Vec<Evidence>,
 }
 
 impl QuarantineRow {
-    /// Whether it holds at a time.
+    /// Whether the request is quarantined at `at_ms`, as opposed to on probation.
     pub fn holds(&self, at_ms: u64) -> bool {
         at_ms < self.until_ms
     }
 
-    /// When it is forgotten, its probation being over, in milliseconds since the Unix epoch.
-    pub fn forgotten_at_ms(&self) -> u64 {
+    /// When the probation ends and the row is removed, in milliseconds since the Unix epoch.
+    pub fn probation_ends_ms(&self) -> u64 {
         self.until_ms + self.until_ms.saturating_sub(self.since_ms)
     }
 
-    /// Zones of the servers that ended under it.
+    /// Zones of the servers whose crashes are attributed to the request.
     pub fn zones(&self) -> BTreeSet<&str> {
         self.evidence.iter().map(|evidence| evidence.zone.as_str()).collect()
     }
 }
 
-/// A suspect that is being tried at a server.
+/// A trial: a suspect that is running on a server, isolated from other suspects if possible.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRow {
-    /// Tells it from others of the same request.
+    /// Distinguishes trials of the same request.
     pub trial: u64,
-    /// Where.
+    /// Instance id of the server.
     pub instance: String,
-    /// How strongly the request was suspected as it began: servers that ended under it.
+    /// Number of crashes attributed to the request when the trial began.
     pub crashes: usize,
-    /// It doesn't count from then on, in milliseconds since the Unix epoch.
+    /// When the trial expires, in milliseconds since the Unix epoch.
     pub until_ms: u64,
 }
 
-/// A suspect that a daemon wants to send to a server.
+/// A daemon's request to send a suspect to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRequest {
-    /// What the request is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Tells this trial from others; a repetition of the same call carries the same.
+    /// Distinguishes this trial from others; a repetition of the same call carries the same number.
     pub trial: u64,
-    /// The server's instance id.
+    /// Instance id of the server.
     pub instance: String,
-    /// It may share the server with other suspects, where each of them was at the end of one server only: there is none
-    /// without.
+    /// Whether the suspect may share the server with other suspects, each of which was involved in at most one crash: set
+    /// when no server without suspects is available.
     pub may_share: bool,
-    /// When it is asked for, in milliseconds since the Unix epoch.
+    /// When the trial is requested, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// How a request stands.
+/// How strongly a request is suspected of crashing servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// No crash is attributed to it.
     Unsuspected,
-    /// It is sent to one server at a time, after a trial was granted.
+    /// It is sent to one server at a time, each time after a trial was granted.
     Suspect,
-    /// It is not sent.
+    /// It is not sent to any server.
     Quarantined,
 }
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -1,4 +1,4 @@
-//! The table, and the rules by which a request comes under quarantine and leaves it.
+//! The suspicion table, and the rules by which requests are quarantined and released.
 
 use super::rows::{
     CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectTry, TrialRequest, TrialRow,
@@ -11,52 +11,55 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Servers that end under a request, in more than one zone, put it under quarantine: operators were promised that the
-/// third is the last but for what is on its way. A suspect is sent to another zone each time, so these are reached at once.
-const CRASHES: usize = 3;
-/// The same where all of them stood in one zone, which may be failing by itself, a rack after the other, while requests
-/// are moved within it. Two sends beyond the third are less than the three that operators allow.
-const CRASHES_IN_ONE_ZONE: usize = 5;
-/// Reports of the end of one instance within this time are of the same end, in milliseconds: a server is back after some
-/// seconds, and reports follow an end within tens of milliseconds, but by clocks of several machines.
-const SAME_END_MS: u64 = 2_000;
-/// A server's process is back no sooner than this after its end, in milliseconds.
-const LEAST_RESTART_MS: u64 = 250;
-/// How long a request stays under quarantine for the first time, in milliseconds. At three servers lost each time, a
-/// request that keeps coming costs less than one server in three minutes; operators release it earlier.
-const QUARANTINE_MS: u64 = 600_000;
-/// Each further time without having been cleared doubles it, up to this many times: to 2.7 hours.
-const MOST_DOUBLINGS: u32 = 4;
-/// Evidence on an end that no request is known to have caused is kept this long, in milliseconds.
-const CRASH_KEPT_MS: u64 = QUARANTINE_MS;
-/// A trial that was neither cleared nor ended by then is taken to have been lost with its daemon, in milliseconds: servers
-/// end within a second of beginning such a request.
-const TRIAL_MS: u64 = 3_000;
-/// Ends of servers that are kept; the oldest goes first. With suspects of 150 bytes, and some 20 to an end, 0.8 MB.
-const MOST_CRASHES: usize = 256;
-/// Suspects kept of one end: several times the requests that a server runs at once.
-const MOST_SUSPECTS: usize = 256;
-/// Requests under quarantine; the one that would end first goes first. With 600 bytes each, 0.6 MB.
-const MOST_QUARANTINED: usize = 1_024;
-/// Servers named as evidence against one request.
-const MOST_EVIDENCE: usize = 8;
+/// Number of attributed crashes, in more than one zone, after which a request is quarantined: operators were promised that
+/// the third server is the last, except for attempts already in flight. A suspect is sent to a different zone each time,
+/// so the requirement of a second zone is met early.
+const QUARANTINE_CRASHES: usize = 3;
+/// The same if all crashes were in one zone: the zone itself may be failing, rack by rack, while requests are moved within
+/// it. Two attempts beyond the third are still fewer than the three that operators allow.
+const QUARANTINE_CRASHES_IN_ONE_ZONE: usize = 5;
+/// Reports about one instance within this time refer to the same crash, in milliseconds: a server takes some seconds to
+/// restart, and reports follow a crash within tens of milliseconds, but carry timestamps of several machines' clocks.
+const DUPLICATE_REPORT_WINDOW_MS: u64 = 2_000;
+/// Minimum time that a server process takes to restart, in milliseconds.
+const MIN_RESTART_MS: u64 = 250;
+/// Duration of a first quarantine, in milliseconds. If a request that keeps arriving crashes three servers each time, it
+/// costs less than one server per three minutes; operators can release it earlier.
+const FIRST_QUARANTINE_MS: u64 = 600_000;
+/// Each further quarantine without having been cleared doubles the duration, at most this many times: up to 2.7 hours.
+const MAX_QUARANTINE_DOUBLINGS: u32 = 4;
+/// How long a crash that no request is known to have caused is retained, in milliseconds.
+const CRASH_RETENTION_MS: u64 = FIRST_QUARANTINE_MS;
+/// Time after which a trial without a result expires, in milliseconds; its daemon is assumed to have failed. Servers crash
+/// within a second of starting such a request.
+const TRIAL_TIMEOUT_MS: u64 = 3_000;
+/// Maximum number of retained crashes; the oldest is evicted first. With 150 bytes per suspect and some 20 suspects per
+/// crash, this is 0.8 MB.
+const MAX_CRASHES: usize = 256;
+/// Maximum number of suspects per crash: several times the number of requests that a server runs concurrently.
+const MAX_SUSPECTS_PER_CRASH: usize = 256;
+/// Maximum number of quarantined requests; the one whose quarantine ends first is evicted first. With 600 bytes each, this
+/// is 0.6 MB.
+const MAX_QUARANTINED: usize = 1_024;
+/// Maximum number of crashes listed as evidence against one request.
+const MAX_EVIDENCE: usize = 8;
 
-/// What is known of requests under which servers ended.
+/// Evidence on requests that may have crashed servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SuspicionTable {
-    /// Ends of servers that no request is known to have caused, by number.
+    /// Crashes that no request is known to have caused, by number.
     pub crashes: OrdMap<u64, Arc<CrashRow>>,
-    /// Requests under quarantine or on probation after it.
+    /// Requests that are quarantined, or on probation afterwards.
     pub quarantined: OrdMap<Fingerprint, Arc<QuarantineRow>>,
     trials: OrdMap<Fingerprint, TrialRow>,
     last_crash: u64,
-    /// Numbers of the ends that each suspect was at: made from `crashes`, and not stored with them.
+    /// Numbers of the crashes that each suspect was involved in: an index derived from `crashes`, not stored.
     #[serde(skip)]
     crashes_of: OrdMap<Fingerprint, OrdSet<u64>>,
 }
 
 impl SuspicionTable {
-    /// How a request stands at a time.
+    /// How strongly a request is suspected at `at_ms`.
     pub fn standing(&self, fingerprint: Fingerprint, at_ms: u64) -> Standing {
         match self.quarantined.get(&fingerprint) {
             Some(row) if row.holds(at_ms) => Standing::Quarantined,
@@ -66,93 +69,100 @@
         }
     }
 
-    /// Ends of servers that speak against a request: those at which no other suspect was at more ends than it. What
-    /// merely shared a server with a request that has ended several is not suspected for that end.
+    /// Crashes attributed to a request: those in which no other suspect was involved in more crashes than this one. A
+    /// request that merely shared a server with one involved in several crashes is not suspected for that crash.
     pub fn crashes_against(&self, fingerprint: Fingerprint) -> Vec<&Arc<CrashRow>> {
         let Some(numbers) = self.crashes_of.get(&fingerprint) else { return Vec::new() };
-        let ends = |suspect: &Suspect| self.crashes_of.get(&suspect.tried.fingerprint).map_or(0, OrdSet::len);
+        let crash_count =
+            |suspect: &Suspect| self.crashes_of.get(&suspect.tried.fingerprint).map_or(0, OrdSet::len);
         let is_likeliest =
-            |row: &&Arc<CrashRow>| row.suspects.iter().all(|other| ends(other) <= numbers.len());
+            |row: &&Arc<CrashRow>| row.suspects.iter().all(|other| crash_count(other) <= numbers.len());
         numbers.iter().filter_map(|number| self.crashes.get(number)).filter(is_likeliest).collect()
     }
 
-    /// Zones in which servers ended under a request: it is tried elsewhere next.
+    /// Zones in which crashes are attributed to a request: the next attempt goes to another zone.
     pub fn zones_against(&self, fingerprint: Fingerprint) -> BTreeSet<&str> {
         let quarantined = self.quarantined.get(&fingerprint);
-        let known = quarantined.map(|row| row.zones()).unwrap_or_default();
+        let evidence_zones = quarantined.map(|row| row.zones()).unwrap_or_default();
         let crashes = self.crashes_against(fingerprint);
-        crashes.into_iter().map(|row| row.zone.as_str()).chain(known).collect()
+        crashes.into_iter().map(|row| row.zone.as_str()).chain(evidence_zones).collect()
     }
 
-    /// Requests that servers had when they ended, those under quarantine not among them.
+    /// Number of requests that servers were running when they crashed, not counting quarantined ones.
     pub fn suspects(&self) -> usize {
         self.crashes_of.len()
     }
 
-    /// The table as daemons need it that are not voters: trials are granted by the log, and known to voters alone.
-    pub(crate) fn for_followers(&self) -> SuspicionTable {
+    /// The table for daemons that are not voters: trials are granted through the log, and only voters hold them.
+    pub(crate) fn for_non_voters(&self) -> SuspicionTable {
         SuspicionTable { trials: OrdMap::new(), ..self.clone() }
     }
 
-    /// Makes again what is not stored: to be called once the table was decoded.
-    pub(crate) fn index(&mut self) {
+    /// Rebuilds the index that is not stored; called after the table was decoded.
+    pub(crate) fn rebuild_index(&mut self) {
         self.crashes_of = OrdMap::new();
         let rows: Vec<Arc<CrashRow>> = self.crashes.values().cloned().collect();
         for row in rows {
-            row.suspects.iter().for_each(|suspect| self.note(suspect.tried.fingerprint, row.number));
+            row.suspects.iter().for_each(|suspect| self.index_suspect(suspect.tried.fingerprint, row.number));
         }
     }
 
-    fn note(&mut self, fingerprint: Fingerprint, number: u64) {
+    fn index_suspect(&mut self, fingerprint: Fingerprint, number: u64) {
         self.crashes_of.entry(fingerprint).or_default().insert(number);
     }
 
-    /// Takes a daemon's word on the end of a server, and puts under quarantine what it proves to have caused it.
-    pub(crate) fn server_ended(&mut self, end: &ServerEnd) -> Applied {
-        for tried in &end.tries {
+    /// Records a daemon's report of a crash, and quarantines the requests to which enough crashes are now attributed.
+    pub(crate) fn server_ended(&mut self, report: &ServerEnd) -> Applied {
+        for tried in &report.tries {
             self.trials.remove(&tried.fingerprint);
         }
-        let (known, unknown): (Vec<&SuspectTry>, Vec<&SuspectTry>) =
-            end.tries.iter().partition(|tried| self.quarantined.contains_key(&tried.fingerprint));
-        // An end under a request that is known to cause them needs no other cause.
-        if known.is_empty() {
-            self.note_crash(end, &unknown);
+        let (quarantined, others): (Vec<&SuspectTry>, Vec<&SuspectTry>) =
+            report.tries.iter().partition(|tried| self.quarantined.contains_key(&tried.fingerprint));
+        // A crash under a request that is known to crash servers needs no other cause.
+        if quarantined.is_empty() {
+            self.record_crash(report, &others);
         }
-        known.iter().for_each(|tried| self.offended(end, tried));
-        unknown.iter().for_each(|tried| self.judge(tried, end.at_ms));
-        self.keep_bounds();
-        Applied::touching(Vec::new())
+        quarantined.iter().for_each(|tried| self.record_reoffence(report, tried));
+        others.iter().for_each(|tried| self.quarantine_if_attributed(tried, report.at_ms));
+        self.enforce_limits();
+        Applied::with_changes(Vec::new())
     }
 
-    /// Adds suspects to the end that they were at.
-    fn note_crash(&mut self, end: &ServerEnd, tries: &[&SuspectTry]) {
-        let mut row = match self.crashes.values().rev().find(|row| is_same_end(row, end)) {
+    /// Adds the attempts of a report as suspects to the row of the crash, creating it for the first report.
+    fn record_crash(&mut self, report: &ServerEnd, tries: &[&SuspectTry]) {
+        let mut row = match self.crashes.values().rev().find(|row| is_same_crash(row, report)) {
             Some(row) => CrashRow::clone(row),
             None => {
                 self.last_crash += 1;
-                let (instance, zone) = (end.instance.clone(), end.zone.clone());
-                CrashRow { number: self.last_crash, instance, zone, at_ms: end.at_ms, suspects: Vec::new() }
+                let (instance, zone) = (report.instance.clone(), report.zone.clone());
+                CrashRow {
+                    number: self.last_crash,
+                    instance,
+                    zone,
+                    at_ms: report.at_ms,
+                    suspects: Vec::new(),
+                }
             }
         };
         for tried in tries {
-            if row.suspects.len() < MOST_SUSPECTS && row.suspect(tried.fingerprint).is_none() {
-                row.suspects.push(Suspect { tried: (*tried).clone(), daemon: end.daemon.clone() });
-                self.note(tried.fingerprint, row.number);
+            if row.suspects.len() < MAX_SUSPECTS_PER_CRASH && row.suspect(tried.fingerprint).is_none() {
+                row.suspects.push(Suspect { tried: (*tried).clone(), daemon: report.daemon.clone() });
+                self.index_suspect(tried.fingerprint, row.number);
             }
         }
         self.crashes.insert(row.number, Arc::new(row));
     }
 
-    /// Puts a suspect under quarantine if the ends that speak against it suffice.
-    fn judge(&mut self, tried: &SuspectTry, at_ms: u64) {
+    /// Quarantines a suspect if enough crashes are attributed to it.
+    fn quarantine_if_attributed(&mut self, tried: &SuspectTry, at_ms: u64) {
         let fingerprint = tried.fingerprint;
-        let against = self.crashes_against(fingerprint);
-        let zones: BTreeSet<&str> = against.iter().map(|row| row.zone.as_str()).collect();
-        let needed = if zones.len() > 1 { CRASHES } else { CRASHES_IN_ONE_ZONE };
-        if against.len() < needed {
+        let attributed = self.crashes_against(fingerprint);
+        let zones: BTreeSet<&str> = attributed.iter().map(|row| row.zone.as_str()).collect();
+        let needed = if zones.len() > 1 { QUARANTINE_CRASHES } else { QUARANTINE_CRASHES_IN_ONE_ZONE };
+        if attributed.len() < needed {
             return;
         }
-        let evidence = against.iter().rev().take(MOST_EVIDENCE).filter_map(|row| {
+        let evidence = attributed.iter().rev().take(MAX_EVIDENCE).filter_map(|row| {
             let suspect = row.suspect(fingerprint)?;
             Some(Evidence {
                 instance: row.instance.clone(),
@@ -167,52 +177,53 @@
             tenant: tried.tenant.clone(),
             route: tried.route.clone(),
             since_ms: at_ms,
-            until_ms: at_ms + QUARANTINE_MS,
+            until_ms: at_ms + FIRST_QUARANTINE_MS,
             offences: 1,
             evidence: evidence.collect(),
         };
         self.quarantined.insert(fingerprint, Arc::new(row));
-        self.explain(fingerprint);
+        self.resolve_crashes(fingerprint);
     }
 
-    /// A server ended under a request that is under quarantine, or on probation. The former tells nothing new: a try was
-    /// on its way. The latter puts it under quarantine again.
-    fn offended(&mut self, end: &ServerEnd, tried: &SuspectTry) {
-        let Some(held) = self.quarantined.get(&tried.fingerprint) else { return };
-        let mut row = QuarantineRow::clone(held);
-        if !row.holds(end.at_ms) {
-            let doublings = row.offences.min(MOST_DOUBLINGS);
+    /// Records a crash under a request that is quarantined or on probation. During the quarantine it is only added to the
+    /// evidence, as the attempt was already in flight; during the probation it starts another quarantine.
+    fn record_reoffence(&mut self, report: &ServerEnd, tried: &SuspectTry) {
+        let Some(current) = self.quarantined.get(&tried.fingerprint) else { return };
+        let mut row = QuarantineRow::clone(current);
+        if !row.holds(report.at_ms) {
+            let doublings = row.offences.min(MAX_QUARANTINE_DOUBLINGS);
             row.offences += 1;
-            row.since_ms = end.at_ms;
-            row.until_ms = end.at_ms + (QUARANTINE_MS << doublings);
+            row.since_ms = report.at_ms;
+            row.until_ms = report.at_ms + (FIRST_QUARANTINE_MS << doublings);
         }
-        let is_known = |evidence: &Evidence| evidence.instance == end.instance && evidence.at_ms == end.at_ms;
-        if row.evidence.len() < MOST_EVIDENCE && !row.evidence.iter().any(is_known) {
+        let is_known =
+            |evidence: &Evidence| evidence.instance == report.instance && evidence.at_ms == report.at_ms;
+        if row.evidence.len() < MAX_EVIDENCE && !row.evidence.iter().any(is_known) {
             row.evidence.push(Evidence {
-                instance: end.instance.clone(),
-                zone: end.zone.clone(),
-                at_ms: end.at_ms,
+                instance: report.instance.clone(),
+                zone: report.zone.clone(),
+                at_ms: report.at_ms,
                 request: tried.request.clone(),
-                daemon: end.daemon.clone(),
+                daemon: report.daemon.clone(),
             });
         }
         self.quarantined.insert(tried.fingerprint, Arc::new(row));
     }
 
-    /// The ends at which a request was have their cause: nothing else is suspected for them.
-    fn explain(&mut self, fingerprint: Fingerprint) {
+    /// Removes the crashes that a request was involved in: their cause is known, so no other request is suspected for them.
+    fn resolve_crashes(&mut self, fingerprint: Fingerprint) {
         let numbers = self.crashes_of.get(&fingerprint).cloned().unwrap_or_default();
-        numbers.iter().for_each(|number| self.forget_crash(*number));
+        numbers.iter().for_each(|number| self.remove_crash(*number));
     }
 
-    fn forget_crash(&mut self, number: u64) {
+    fn remove_crash(&mut self, number: u64) {
         let Some(row) = self.crashes.remove(&number) else { return };
         for suspect in &row.suspects {
-            self.forget_at(suspect.tried.fingerprint, number);
+            self.unindex_suspect(suspect.tried.fingerprint, number);
         }
     }
 
-    fn forget_at(&mut self, fingerprint: Fingerprint, number: u64) {
+    fn unindex_suspect(&mut self, fingerprint: Fingerprint, number: u64) {
         let Some(numbers) = self.crashes_of.get_mut(&fingerprint) else { return };
         numbers.remove(&number);
         if numbers.is_empty() {
@@ -220,7 +231,7 @@
         }
     }
 
-    /// Grants a trial, or tells why not.
+    /// Grants a trial, or refuses it with the reason.
     pub(crate) fn begin_trial(&mut self, request: &TrialRequest) -> Applied {
         let (fingerprint, at_ms) = (request.fingerprint, request.at_ms);
         if self.standing(fingerprint, at_ms) == Standing::Quarantined {
@@ -231,12 +242,13 @@
         if running.is_some_and(|trial| trial.trial != request.trial) {
             return Applied::refused(ResultCode::TrialUnderWay, "the request is being tried at a server");
         }
-        let crashes = self.strength(fingerprint);
-        // Suspects that share a server are both suspected again if it ends; what has ended two servers shares none.
+        let crashes = self.suspicion_strength(fingerprint);
+        // If suspects that share a server crash it, both are suspected again; so a request with two attributed crashes
+        // never shares a server.
         let conflicts = |other: &Fingerprint, trial: &TrialRow| {
-            let is_there = *other != fingerprint && trial.instance == request.instance;
+            let is_on_server = *other != fingerprint && trial.instance == request.instance;
             let may_share = request.may_share && crashes <= 1 && trial.crashes <= 1;
-            is_there && at_ms < trial.until_ms && !may_share
+            is_on_server && at_ms < trial.until_ms && !may_share
         };
         if self.trials.iter().any(|(other, trial)| conflicts(other, trial)) {
             return Applied::refused(
@@ -245,34 +257,33 @@
             );
         }
         let (trial, instance) = (request.trial, request.instance.clone());
-        let row = TrialRow { trial, instance, crashes, until_ms: at_ms + TRIAL_MS };
+        let row = TrialRow { trial, instance, crashes, until_ms: at_ms + TRIAL_TIMEOUT_MS };
         self.trials.insert(fingerprint, row);
-        Applied::touching(Vec::new())
+        Applied::with_changes(Vec::new())
     }
 
-    /// How strongly a request is suspected: servers that ended under it, and no less than all that quarantine takes for
-    /// one on probation.
-    fn strength(&self, fingerprint: Fingerprint) -> usize {
+    /// Number of crashes attributed to a request; for one on probation, the number that quarantine requires.
+    fn suspicion_strength(&self, fingerprint: Fingerprint) -> usize {
         if self.quarantined.contains_key(&fingerprint) {
-            return CRASHES;
+            return QUARANTINE_CRASHES;
         }
         self.crashes_against(fingerprint).len()
     }
 
-    /// Whether a request is being tried at a server that has ended several: others are kept from that server.
+    /// Whether a request with several attributed crashes is on trial on a server: no other requests are routed there.
     pub fn is_in_danger(&self, instance: &str) -> bool {
         self.trials.values().any(|trial| trial.instance == instance && trial.crashes > 1)
     }
 
-    /// A trial has ended without telling anything: its caller left, or nothing was sent.
+    /// Ends a trial that gave no result: its caller disconnected, or nothing was sent.
     pub(crate) fn end_trial(&mut self, fingerprint: Fingerprint, trial: u64) -> Applied {
         if self.trials.get(&fingerprint).is_some_and(|running| running.trial == trial) {
             self.trials.remove(&fingerprint);
         }
-        Applied::touching(Vec::new())
+        Applied::with_changes(Vec::new())
     }
 
-    /// A request was answered whole, or an operator releases it: nothing speaks against it any more.
+    /// Clears a request of all suspicion: it received a complete response, or an operator released it.
     pub(crate) fn clear(&mut self, fingerprint: Fingerprint) -> Applied {
         self.trials.remove(&fingerprint);
         self.quarantined.remove(&fingerprint);
@@ -287,34 +298,34 @@
                 self.crashes.insert(number, Arc::new(next));
             }
         }
-        Applied::touching(Vec::new())
+        Applied::with_changes(Vec::new())
     }
 
-    /// Whether anything is old enough to be forgotten.
+    /// Whether [`GatewayCommand::ExpireSuspicions`](crate::GatewayCommand::ExpireSuspicions) would remove anything.
     pub fn has_expired(&self, at_ms: u64) -> bool {
-        self.crashes.values().any(|row| is_old(row, at_ms))
-            || self.quarantined.values().any(|row| at_ms >= row.forgotten_at_ms())
+        self.crashes.values().any(|row| is_expired(row, at_ms))
+            || self.quarantined.values().any(|row| at_ms >= row.probation_ends_ms())
             || self.trials.values().any(|trial| at_ms >= trial.until_ms)
     }
 
-    /// Forgets what is old.
+    /// Removes expired crashes, quarantines and trials.
     pub(crate) fn expire(&mut self, at_ms: u64) -> Applied {
-        let crashes = self.crashes.values().filter(|row| is_old(row, at_ms));
+        let crashes = self.crashes.values().filter(|row| is_expired(row, at_ms));
         let numbers: Vec<u64> = crashes.map(|row| row.number).collect();
-        numbers.into_iter().for_each(|number| self.forget_crash(number));
-        let kept = self.quarantined.iter().filter(|(_, row)| at_ms < row.forgotten_at_ms());
-        self.quarantined = kept.map(|(fingerprint, row)| (*fingerprint, row.clone())).collect();
+        numbers.into_iter().for_each(|number| self.remove_crash(number));
+        let retained = self.quarantined.iter().filter(|(_, row)| at_ms < row.probation_ends_ms());
+        self.quarantined = retained.map(|(fingerprint, row)| (*fingerprint, row.clone())).collect();
         let running = self.trials.iter().filter(|(_, trial)| at_ms < trial.until_ms);
         self.trials = running.map(|(fingerprint, trial)| (*fingerprint, trial.clone())).collect();
-        Applied::touching(Vec::new())
+        Applied::with_changes(Vec::new())
     }
 
-    fn keep_bounds(&mut self) {
-        while self.crashes.len() > MOST_CRASHES {
+    fn enforce_limits(&mut self) {
+        while self.crashes.len() > MAX_CRASHES {
             let Some((number, _)) = self.crashes.get_min().cloned() else { return };
-            self.forget_crash(number);
+            self.remove_crash(number);
         }
-        while self.quarantined.len() > MOST_QUARANTINED {
+        while self.quarantined.len() > MAX_QUARANTINED {
             let first = self.quarantined.values().min_by_key(|row| row.until_ms);
             let Some(fingerprint) = first.map(|row| row.fingerprint) else { return };
             self.quarantined.remove(&fingerprint);
@@ -322,17 +333,17 @@
     }
 }
 
-/// Whether a report is of an end that is known. A server may be back under its id within a second: a new try of a request
-/// that it had before is of another end, as a request is tried at one server at a time.
-fn is_same_end(row: &CrashRow, end: &ServerEnd) -> bool {
-    let apart_ms = row.at_ms.abs_diff(end.at_ms);
-    let is_another_try = |tried: &SuspectTry| {
+/// Whether a report refers to a known crash. A server may restart under the same id within a second: a new attempt of a
+/// request that it was running before belongs to another crash, as a suspect is tried on one server at a time.
+fn is_same_crash(row: &CrashRow, report: &ServerEnd) -> bool {
+    let apart_ms = row.at_ms.abs_diff(report.at_ms);
+    let is_new_attempt = |tried: &SuspectTry| {
         row.suspect(tried.fingerprint).is_some_and(|suspect| suspect.tried.request != tried.request)
     };
-    let is_back = apart_ms >= LEAST_RESTART_MS && end.tries.iter().any(is_another_try);
-    row.instance == end.instance && apart_ms <= SAME_END_MS && !is_back
+    let has_restarted = apart_ms >= MIN_RESTART_MS && report.tries.iter().any(is_new_attempt);
+    row.instance == report.instance && apart_ms <= DUPLICATE_REPORT_WINDOW_MS && !has_restarted
 }
 
-fn is_old(row: &CrashRow, at_ms: u64) -> bool {
-    at_ms >= row.at_ms + CRASH_KEPT_MS
+fn is_expired(row: &CrashRow, at_ms: u64) -> bool {
+    at_ms >= row.at_ms + CRASH_RETENTION_MS
 }
--- a/crates/state/src/tables.rs
+++ b/crates/state/src/tables.rs
@@ -1,4 +1,4 @@
-//! Rows of the replicated tables.
+//! The replicated tables and their rows.
 
 use crate::gateway::GatewayTables;
 use dockwood_api::engine::{OrderAction, Role};
@@ -12,27 +12,28 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Whether a daemon takes part.
+/// Liveness of a daemon, as the leader last observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Liveness {
-    /// It holds or renews leases.
+    /// The daemon holds a lease and renews it.
     Live,
-    /// It is stopping: no new work, its duties move away.
+    /// The daemon is shutting down: it takes no new work, and its duties are reassigned.
     Leaving,
-    /// Its lease ran out.
+    /// The daemon's lease has expired.
     Lost,
-    /// Nothing was heard of it lately, and its lease may still run: callers are not sent to it, its duties stay.
+    /// The daemon has not been heard from recently, but its lease may still be valid: callers are not directed to it, and
+    /// it keeps its duties.
     Silent,
 }
 
 /// A daemon that has joined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonRow {
-    /// Name, addresses and place.
+    /// Name, addresses, zone and region.
     pub record: DaemonRecord,
     /// Distinguishes restarts.
     pub incarnation: u64,
-    /// Whether it takes part.
+    /// Its liveness.
     pub liveness: Liveness,
     /// Revision of the last change to this row.
     pub revision: u64,
@@ -40,33 +41,33 @@
     pub since_ms: u64,
 }
 
-/// Where a replica stands.
+/// Lifecycle phase of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaPhase {
-    /// Load orders of the current epoch are not all carried out.
+    /// Some load orders of the current epoch are still pending.
     Loading,
-    /// Every member is loaded; it serves while there is evidence that all are alive.
+    /// Every member has loaded; the replica serves while there is evidence that all members are alive.
     Serving,
-    /// No new work; requests in flight go on.
+    /// No new requests are admitted; requests in flight continue.
     Draining,
 }
 
-/// Machines that serve a deployment together.
+/// A group of machines that together serve a deployment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRow {
-    /// Resource name, unique over all time.
+    /// Resource name; never reused.
     pub name: String,
-    /// Deployment resource name; names the pool too.
+    /// Deployment resource name, which is also the name of the pool.
     pub deployment: String,
     /// Role of the group.
     pub role: Role,
     /// Model resource name.
     pub model: String,
-    /// Model version it loads or has loaded.
+    /// Model version that the members load or have loaded.
     pub version: String,
-    /// Adapters loaded beside the model.
+    /// Adapters loaded with the model.
     pub adapters: Vec<String>,
-    /// Grows with every change of membership or content.
+    /// Incremented whenever the members or the loaded model and adapters change.
     pub epoch: u64,
     /// Server names, head first.
     pub members: Vec<String>,
@@ -74,15 +75,15 @@
     pub domain: String,
     /// Zone of the domain.
     pub zone: String,
-    /// Where it stands.
+    /// Lifecycle phase.
     pub phase: ReplicaPhase,
-    /// The daemon that gathers evidence on it.
+    /// The daemon that collects health evidence on the replica.
     pub watcher: Option<String>,
     /// Revision of the last change to this row.
     pub revision: u64,
     /// When `phase` or `epoch` last changed, in milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// Why it is as it is: the last operator's reason.
+    /// Reason of the last change, shown to operators.
     pub reason: String,
 }
 
@@ -91,40 +92,40 @@
 pub struct Holder {
     /// Replica resource name.
     pub replica: String,
-    /// Its epoch when it took the machine.
+    /// Epoch of the replica when it acquired the machine.
     pub epoch: u64,
 }
 
-/// What the log has assigned a machine to.
+/// Assignment of a machine, according to the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRow {
-    /// The highest fence that was ever issued.
+    /// The highest fence ever issued for the machine.
     pub fence: u64,
-    /// The replica that holds it.
+    /// The replica that holds the machine.
     pub holder: Option<Holder>,
 }
 
-/// Whether an order was carried out.
+/// State of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OrderState {
-    /// To be sent until it is answered.
+    /// Sent repeatedly until the machine confirms it.
     Pending,
-    /// The machine confirmed it.
+    /// Confirmed by the machine.
     Done,
 }
 
-/// The newest order to a machine; an older one is superseded by its fence.
+/// The newest order to a machine; its fence supersedes all older orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRow {
-    /// Identifies the order.
+    /// Order id.
     pub id: String,
     /// Server resource name.
     pub server: String,
-    /// Fence it is sent with.
+    /// Fencing token of the order.
     pub fence: u64,
-    /// What it asks for.
+    /// Requested action.
     pub action: OrderAction,
-    /// Whether it was carried out.
+    /// Whether the machine has confirmed it.
     pub state: OrderState,
     /// Revision of the last change to this row.
     pub revision: u64,
@@ -132,25 +133,25 @@
     pub issued_ms: u64,
 }
 
-/// Duties of a pool.
+/// Daemons that coordinate a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRow {
     /// The daemon that grants slots.
     pub coordinator: Option<String>,
-    /// The daemon that takes over.
+    /// The daemon that takes over if the coordinator fails.
     pub standby: Option<String>,
-    /// Grows with every change of coordinator.
+    /// Incremented with every change of coordinator.
     pub term: u64,
 }
 
-/// All replicated tables that every daemon holds.
+/// All tables that are replicated to every daemon.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tables {
     /// Number of configuration commands applied.
     pub revision: u64,
-    /// Time of the newest command, in milliseconds since the Unix epoch; never goes back.
+    /// Time of the newest command, in milliseconds since the Unix epoch; monotonic.
     pub now_ms: u64,
-    /// Desired resources.
+    /// Resources declared by operators.
     pub resources: BTreeMap<ResourceKey, Arc<Resource>>,
     /// Daemons by name.
     pub daemons: OrdMap<String, Arc<DaemonRow>>,
@@ -162,7 +163,7 @@
     pub orders: BTreeMap<String, Arc<OrderRow>>,
     /// Pools by deployment name.
     pub pools: BTreeMap<String, PoolRow>,
-    /// Number in the name of the next replica.
+    /// Number in the name of the newest replica.
     pub next_replica: u64,
     /// The gateway's tables.
     pub gateway: GatewayTables,
@@ -178,7 +179,7 @@
             }
         }
 
-        #[doc = concat!("Every ", $noun, " with its name, in order of name.")]
+        #[doc = concat!("Every ", $noun, " with its name, sorted by name.")]
         pub fn $lister(&self) -> impl Iterator<Item = (&str, &$spec)> {
             self.of_kind(Kind::$kind).filter_map(|resource| match &resource.spec {
                 Spec::$kind(spec) => Some((resource.metadata.name.as_str(), spec)),
@@ -196,12 +197,12 @@
     typed_access!(server, servers, Server, ServerSpec, "server");
     typed_access!(service, services, Service, ServiceSpec, "service");
 
-    /// A desired resource, if it exists.
+    /// A resource declared by an operator, if it exists.
     pub fn resource(&self, kind: Kind, name: &str) -> Option<&Arc<Resource>> {
         self.resources.get(&ResourceKey::new(kind, name))
     }
 
-    /// All desired resources of a kind, in order of name.
+    /// All declared resources of a kind, sorted by name.
     pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Arc<Resource>> {
         let first = ResourceKey::new(kind, "");
         self.resources
@@ -210,24 +211,24 @@
             .map(|(_, resource)| resource)
     }
 
-    /// Replicas of one deployment, in order of name.
+    /// Replicas of one deployment, sorted by name.
     pub fn replicas_of<'a>(&'a self, deployment: &'a str) -> impl Iterator<Item = &'a Arc<ReplicaRow>> {
         self.replicas.values().filter(move |replica| replica.deployment == deployment)
     }
 
-    /// Whether a machine is held by no replica and has carried out its last order.
+    /// Whether a machine is held by no replica and has confirmed its last order.
     pub fn is_free(&self, server: &str) -> bool {
         let held = self.machines.get(server).is_some_and(|machine| machine.holder.is_some());
         let pending = self.orders.get(server).is_some_and(|order| order.state == OrderState::Pending);
         !held && !pending
     }
 
-    /// Daemons that take part, in order of name.
+    /// Daemons that are live or silent, sorted by name: those that keep their duties.
     pub fn live_daemons(&self) -> impl Iterator<Item = &Arc<DaemonRow>> {
         self.daemons.values().filter(|daemon| matches!(daemon.liveness, Liveness::Live | Liveness::Silent))
     }
 
-    /// Daemons that take part and were heard lately, in order of name: those that callers may be sent to.
+    /// Daemons that were heard from recently, sorted by name: those that callers may be directed to.
     pub fn reachable_daemons(&self) -> impl Iterator<Item = &Arc<DaemonRow>> {
         self.daemons.values().filter(|daemon| daemon.liveness == Liveness::Live)
     }
--- a/crates/state/src/view.rs
+++ b/crates/state/src/view.rs
@@ -1,4 +1,4 @@
-//! Resources as the API shows them: specs with a status computed from the tables.
+//! Resources as the API presents them: the spec with a status computed from the tables.
 
 use crate::tables::{DaemonRow, Liveness, OrderRow, OrderState, ReplicaPhase, ReplicaRow, Tables};
 use dockwood_api::resource::{
@@ -21,7 +21,7 @@
     }
 }
 
-/// Names of all resources of a kind, in order.
+/// Names of all resources of a kind, in the order of their table.
 pub fn names(tables: &Tables, kind: Kind) -> Vec<String> {
     match kind {
         Kind::Replica => tables.replicas.keys().cloned().collect(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The view of a resource as a change stored it, which may differ from what the tables hold by now.
+/// The view of a resource as a change stored it; the tables may hold a newer version by now.
 pub fn view_of_stored(tables: &Tables, in_force_revision: u64, resource: &Resource) -> ResourceView {
     resource_view(tables, resource, in_force_revision)
 }
--- a/crates/state/tests/assignment.rs
+++ b/crates/state/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Machines and replicas: what no sequence of commands may bring about.
+//! Machines and replicas: invariants that hold for any sequence of commands.
 
 mod common;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_replica_serves_once_every_machine_has_confirmed() {
+fn a_replica_serves_once_every_machine_confirmed_its_order() {
     let mut state = fleet(8);
     form(&mut state, 0..4);
     for server in machines(0..3) {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_machine_in_a_replica_is_refused_to_another() {
+fn a_machine_in_one_replica_is_not_assigned_to_another() {
     let mut state = fleet(8);
     form(&mut state, 0..4);
     let refused = form(&mut state, 3..7).outcome;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_released_machine_is_not_used_before_it_has_let_go() {
+fn a_released_machine_is_not_assigned_before_it_confirmed_its_release() {
     let mut state = fleet(8);
     form(&mut state, 0..4);
     confirm_orders(&mut state);
@@ -49,22 +49,22 @@
     assert_eq!(refusal(&form(&mut state, [3, 5, 6, 7]).outcome), Some(ResultCode::MachineInOtherReplica));
     let fence = state.tables.machines["m-3"].fence;
     apply(&mut state, CommandBody::OrderDone { server: "m-3".to_string(), fence: fence - 1 });
-    assert!(!state.tables.is_free("m-3"), "an older order's answer must not count");
+    assert!(!state.tables.is_free("m-3"), "the confirmation of an older order must not count");
     apply(&mut state, CommandBody::OrderDone { server: "m-3".to_string(), fence });
     assert_eq!(refusal(&form(&mut state, [3, 5, 6, 7]).outcome), None);
 }
 
 #[test]
-fn a_decision_on_an_old_epoch_is_refused() {
+fn a_command_for_an_old_epoch_is_refused() {
     let mut state = fleet(8);
     form(&mut state, 0..4);
     apply(&mut state, reform("d-1", 1, [0, 1, 2, 4]));
-    let late = apply(&mut state, reform("d-1", 1, [0, 1, 2, 5])).outcome;
-    assert_eq!(refusal(&late), Some(ResultCode::EpochStale));
+    let stale = apply(&mut state, reform("d-1", 1, [0, 1, 2, 5])).outcome;
+    assert_eq!(refusal(&stale), Some(ResultCode::EpochStale));
 }
 
 #[test]
-fn members_lie_in_one_domain_and_are_as_many_as_declared() {
+fn members_share_one_domain_and_match_the_declared_count() {
     let mut state = fleet(16);
     assert_eq!(refusal(&form(&mut state, 6..10).outcome), Some(ResultCode::ValidationFailed));
     assert_eq!(refusal(&form(&mut state, 0..3).outcome), Some(ResultCode::ValidationFailed));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_machine_that_lost_its_state_loads_again_under_a_higher_fence() {
+fn a_machine_that_lost_its_state_reloads_under_a_higher_fence() {
     let mut state = fleet(8);
     form(&mut state, 0..4);
     confirm_orders(&mut state);
@@ -83,7 +83,7 @@
     assert_eq!(state.tables.replicas["d-1"].phase, ReplicaPhase::Serving);
 }
 
-/// Commands as a confused controller might send them.
+/// Arbitrary commands, as a faulty controller might send them.
 fn any_command() -> impl Strategy<Value = CommandBody> {
     let replica = || (1_u64..5).prop_map(|number| format!("d-{number}"));
     let server = || (0_usize..16).prop_map(|number| format!("m-{number}"));
@@ -118,7 +118,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn no_sequence_of_commands_puts_a_machine_into_two_replicas(commands in proptest::collection::vec(any_command(), 1..60)) {
+    fn no_sequence_of_commands_assigns_a_machine_to_two_replicas(commands in proptest::collection::vec(any_command(), 1..60)) {
         let mut state: State = fleet(16);
         for command in commands {
             let before = state.tables.clone();
--- a/crates/state/tests/changes.rs
+++ b/crates/state/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: compare and set, change ids, references, dependants.
+//! Operators' changes: compare-and-set, change ids, references and dependants.
 
 mod common;
 
@@ -18,17 +18,20 @@
 }
 
 #[test]
-fn of_two_changes_of_one_version_exactly_one_wins() {
+fn of_two_updates_to_the_same_version_exactly_one_succeeds() {
     let mut state = fleet(4);
-    let version =
-        state.tables.resource(Kind::Deployment, "d").map(|one| one.metadata.resource_version).unwrap_or(0);
-    let changed = |replicas| {
+    let version = state
+        .tables
+        .resource(Kind::Deployment, "d")
+        .map(|resource| resource.metadata.resource_version)
+        .unwrap_or(0);
+    let update = |replicas| {
         let mut resource = deployment("d", replicas);
         resource.metadata.resource_version = version;
         resource
     };
-    let first = change(&mut state, "a", ChangeAction::Update(changed(3)));
-    let second = change(&mut state, "b", ChangeAction::Update(changed(4)));
+    let first = change(&mut state, "a", ChangeAction::Update(update(3)));
+    let second = change(&mut state, "b", ChangeAction::Update(update(4)));
     assert!(matches!(first, Outcome::Stored { changed: true, .. }), "{first:?}");
     let Outcome::Conflict(winner) = second else { panic!("{second:?}") };
     assert!(matches!(&winner.spec, Spec::Deployment(spec) if spec.replicas == 3));
@@ -36,7 +39,7 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_and_changes_nothing() {
+fn a_resend_returns_the_recorded_outcome_and_changes_nothing() {
     let mut state = fleet(0);
     let first = change(&mut state, "a", ChangeAction::Apply(deployment("d", 3)));
     store(&mut state, deployment("d", 5));
@@ -46,7 +49,7 @@
 }
 
 #[test]
-fn a_resent_conflict_stays_a_conflict() {
+fn a_resend_of_a_conflicting_change_returns_the_conflict() {
     let mut state = fleet(0);
     let mut stale = deployment("d", 3);
     stale.metadata.resource_version = 1;
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn a_change_id_with_other_content_is_refused() {
+fn a_change_id_reused_with_other_content_is_refused() {
     let mut state = fleet(0);
     change(&mut state, "a", ChangeAction::Apply(deployment("d", 3)));
     let other = change(&mut state, "a", ChangeAction::Apply(deployment("d", 4)));
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn remembered_change_ids_are_bounded() {
+fn retained_change_ids_are_bounded() {
     let mut state = fleet(0);
     for number in 0..CHANGE_RETENTION + 10 {
         change(
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn references_must_exist() {
+fn referenced_resources_must_exist() {
     let mut state = State::default();
     let missing = change(&mut state, "a", ChangeAction::Create(deployment("d", 1)));
     assert_eq!(code(&missing), ResultCode::ValidationFailed);
@@ -99,7 +102,7 @@
 }
 
 #[test]
-fn what_is_in_use_can_not_be_deleted_or_moved() {
+fn resources_in_use_cannot_be_deleted_or_moved() {
     let mut state = fleet(8);
     form(&mut state, 0..4);
     let delete =
@@ -115,7 +118,7 @@
 }
 
 #[test]
-fn an_address_or_key_belongs_to_one() {
+fn server_addresses_and_tenant_keys_are_unique() {
     let mut state = fleet(2);
     let mut twin = server(1, "domain-0");
     twin.metadata.name = "twin".to_string();
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn generations_follow_the_spec_and_versions_follow_all() {
+fn generation_changes_with_the_spec_and_resource_version_with_every_change() {
     let mut state = fleet(0);
     let first = store(&mut state, deployment("e", 1));
     let mut labelled = deployment("e", 1);
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: one dispatcher for a request id.
+//! Claims: at most one dispatcher for each request id.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn only_the_first_claim_is_held_and_its_repeat_too() {
+fn only_the_first_claim_and_its_repetition_are_held() {
     let mut state = State::default();
     assert_eq!(verdict(&mut state, claim("a", 1)), ClaimVerdict::Held);
     assert_eq!(verdict(&mut state, claim("a", 1)), ClaimVerdict::Held);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn other_content_is_told_from_a_resend() {
+fn a_claim_with_different_content_is_detected() {
     let mut state = State::default();
     verdict(&mut state, claim("a", 1));
     let other = ClaimRequest { content_digest: 8, ..claim("a", 1) };
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_withdrawn_claim_may_be_made_again_and_a_settled_one_not() {
+fn a_withdrawn_claim_can_be_claimed_again_but_a_settled_one_cannot() {
     let mut state = State::default();
     verdict(&mut state, claim("a", 1));
     let settle = |code| CommandBody::SettleClaims(vec![ClaimSettlement { key: key(), attempt: 1, code }]);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_id_older_than_claims_are_kept_is_refused() {
+fn a_request_id_older_than_the_claim_retention_is_refused() {
     let mut state = State::default();
     let old = ClaimRequest { created_ms: 1_000, ..claim("a", 1) };
     let body = CommandBody::Claim(vec![old]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn claims_take_no_revision_and_are_forgotten_in_time() {
+fn claims_take_no_revision_and_expire() {
     let mut state = State::default();
     verdict(&mut state, claim("a", 1));
     assert_eq!((state.tables.revision, state.claims.len()), (0, 1));
--- a/crates/state/tests/common/gateway.rs
+++ b/crates/state/tests/common/gateway.rs
@@ -1,4 +1,4 @@
-//! Changes of the gateway's tables.
+//! Test helpers: commands on the gateway's tables.
 
 #![allow(dead_code)]
 
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet's commands, shared by the tests of this crate.
+//! Test helpers: a small fleet and commands that change it.
 #![allow(dead_code)]
 
 pub mod gateway;
@@ -7,31 +7,31 @@
 use dockwood_state::{Applied, ChangeAction, ChangeRequest, Command, CommandBody, Outcome, State};
 use serde_json::{Value, json};
 
-/// A resource from its JSON parts.
+/// Parses a resource from its JSON parts.
 pub fn resource(kind: &str, name: &str, spec: Value) -> Resource {
     let body = json!({ "kind": kind, "metadata": { "name": name }, "spec": spec }).to_string();
     parse_resource(body.as_bytes()).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// A server of a domain.
+/// A server in a domain.
 pub fn server(number: usize, domain: &str) -> Resource {
     let address = format!("127.0.0.1:{}", 1_000 + number);
     resource("Server", &format!("m-{number}"), json!({ "address": address, "domain": domain, "zone": "z" }))
 }
 
-/// A deployment of four machines a replica.
+/// A deployment with four machines per replica.
 pub fn deployment(name: &str, replicas: u32) -> Resource {
     let spec = json!({ "model": "model", "version": "v1", "replicas": replicas, "machinesPerReplica": 4 });
     resource("Deployment", name, spec)
 }
 
-/// Applies a command body.
+/// Applies a command one millisecond after the previous one.
 pub fn apply(state: &mut State, body: CommandBody) -> Applied {
     let at_ms = state.tables.now_ms + 1;
     state.apply(&Command { at_ms, body })
 }
 
-/// Applies an operator's change under a change id.
+/// Applies an operator's change with a change id.
 pub fn change(state: &mut State, change_id: &str, action: ChangeAction) -> Outcome {
     let content_digest = match &action {
         ChangeAction::Create(resource) | ChangeAction::Update(resource) | ChangeAction::Apply(resource) => {
@@ -43,7 +43,7 @@
     apply(state, CommandBody::Change(request)).outcome
 }
 
-/// Applies a resource, which must be stored.
+/// Applies a resource and panics unless it is stored.
 pub fn store(state: &mut State, resource: Resource) -> Metadata {
     let id = format!("store-{}-{}", resource.key(), state.tables.revision);
     match change(state, &id, ChangeAction::Apply(resource)) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A model, a deployment, and `servers` machines, eight to a domain.
+/// A model, a deployment, and `servers` machines, eight per domain.
 pub fn fleet(servers: usize) -> State {
     let mut state = State::default();
     let versions = json!([{ "name": "v1", "weightsMib": 100 }, { "name": "v2", "weightsMib": 100 }]);
@@ -64,12 +64,12 @@
     state
 }
 
-/// Names of machines.
+/// Server names of numbered machines.
 pub fn machines(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
     numbers.into_iter().map(|number| format!("m-{number}")).collect()
 }
 
-/// Forms a replica.
+/// Forms a replica of deployment `d` from numbered machines.
 pub fn form(state: &mut State, numbers: impl IntoIterator<Item = usize>) -> Applied {
     let body = CommandBody::FormReplica {
         deployment: "d".to_string(),
@@ -79,11 +79,11 @@
     apply(state, body)
 }
 
-/// Confirms every pending order.
+/// Confirms the newest order of every machine.
 pub fn confirm_orders(state: &mut State) {
-    let pending: Vec<(String, u64)> =
+    let orders: Vec<(String, u64)> =
         state.tables.orders.values().map(|order| (order.server.clone(), order.fence)).collect();
-    for (server, fence) in pending {
+    for (server, fence) in orders {
         apply(state, CommandBody::OrderDone { server, fence });
     }
 }
--- a/crates/state/tests/gateway.rs
+++ b/crates/state/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Rules of the gateway's tables that hold whatever a controller asks.
+//! Invariants of the gateway's tables that hold whatever a controller requests.
 
 mod common;
 
@@ -15,33 +15,33 @@
     apply(state, GatewayCommand::Configure(Arc::new(configuration)));
 }
 
-fn held(state: &State) -> Option<(u64, Vec<u8>)> {
+fn current_configuration(state: &State) -> Option<(u64, Vec<u8>)> {
     let configuration = state.tables.gateway.configuration.as_ref();
-    configuration.map(|held| (held.version, held.document.clone()))
+    configuration.map(|current| (current.version, current.document.clone()))
 }
 
 #[test]
-fn the_highest_version_holds_whatever_the_order() {
+fn the_highest_configuration_version_wins_in_any_order() {
     let mut state = State::default();
     configure(&mut state, 5, b"five");
     configure(&mut state, 3, b"three");
     configure(&mut state, 5, b"other");
-    assert_eq!(held(&state), Some((5, b"five".to_vec())));
+    assert_eq!(current_configuration(&state), Some((5, b"five".to_vec())));
     configure(&mut state, 9, b"nine");
-    assert_eq!(held(&state), Some((9, b"nine".to_vec())));
+    assert_eq!(current_configuration(&state), Some((9, b"nine".to_vec())));
 }
 
 #[test]
-fn followers_get_the_configuration_without_the_operators_document() {
+fn non_voters_receive_the_configuration_without_the_operators_document() {
     let mut state = State::default();
     configure(&mut state, 5, b"five");
-    let copy = State::decode(&state.encode_for_followers()).map(|copy| held(&copy));
+    let copy = State::decode(&state.encode_for_followers()).map(|copy| current_configuration(&copy));
     assert_eq!(copy, Ok(Some((5, Vec::new()))));
     assert_eq!(State::decode(&state.encode()), Ok(state));
 }
 
 #[test]
-fn an_instance_is_in_one_group_at_most() {
+fn an_instance_is_in_at_most_one_group() {
     let mut state = State::default();
     for (id, port) in [("a", 1), ("b", 2), ("c", 3)] {
         register(&mut state, id, port);
@@ -51,11 +51,11 @@
     assert!(matches!(form(&mut state, &["c", "unknown"]), Outcome::Refused(_)));
     apply(&mut state, GatewayCommand::End { epoch: 1, reason: String::new() });
     assert_eq!(form(&mut state, &["b", "c"]), Outcome::Applied);
-    assert_eq!(state.tables.gateway.last_epoch, 2, "epochs are never used again");
+    assert_eq!(state.tables.gateway.last_epoch, 2, "epochs are never reused");
 }
 
 #[test]
-fn phases_only_go_forward() {
+fn group_phases_only_move_forward() {
     let mut state = State::default();
     register(&mut state, "a", 1);
     form(&mut state, &["a"]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_late_report_brings_no_instance_back() {
+fn a_delayed_report_does_not_restore_a_removed_instance() {
     let mut state = State::default();
     register(&mut state, "a", 1);
     apply(&mut state, GatewayCommand::SignOff { id: "a".to_string() });
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_instance_that_is_draining_stays_so() {
+fn a_draining_instance_stays_draining() {
     let mut state = State::default();
     let draining = InstanceRow { state: InstanceState::Draining, ..row("a", 1) };
     apply(&mut state, GatewayCommand::Register(draining));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_new_start_at_an_address_replaces_the_one_before() {
+fn a_new_process_at_an_address_replaces_the_previous_one() {
     let mut state = State::default();
     register(&mut state, "a", 1);
     register(&mut state, "b", 1);
@@ -101,9 +101,10 @@
     assert!(state.tables.gateway.was_removed("a"));
 }
 
-/// A heartbeat that a cut delayed may arrive after its sender has crashed and a new one has registered at its address.
+/// Guards against a heartbeat that a network partition delays until its sender has crashed and a new process has
+/// registered at the same address.
 #[test]
-fn a_late_report_of_a_former_start_leaves_the_new_one_in_place() {
+fn a_delayed_report_of_an_earlier_process_does_not_replace_its_successor() {
     let mut state = State::default();
     configure(&mut state, 1, b"1");
     register(&mut state, "before", 1);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn only_members_of_a_group_that_is_cut_off_are_released_and_never_the_head() {
+fn only_members_of_a_cutting_group_are_released_and_never_its_head() {
     let mut state = State::default();
     register(&mut state, "a", 1);
     register(&mut state, "b", 2);
@@ -131,30 +132,31 @@
     assert!(state.tables.gateway.group_of("b").is_none() && state.tables.gateway.group_of("a").is_some());
 }
 
-/// What followers hold after taking these commands, each at the revision that it made.
-fn follower_of(leader: &State, commands: &[Command]) -> State {
-    let mut follower = State::default();
+/// The state of a non-voter that applied these commands, at the leader's revision.
+fn non_voter_state(leader: &State, commands: &[Command]) -> State {
+    let mut non_voter = State::default();
     commands.iter().for_each(|command| {
-        follower.apply(command);
+        non_voter.apply(command);
     });
-    follower.tables.revision = leader.tables.revision;
-    follower
+    non_voter.tables.revision = leader.tables.revision;
+    non_voter
 }
 
-/// Found on unidos-despacho-large: each of 760 registrations went to each of 327 daemons, and filled the leader's link.
+/// Guards against saturating the leader's network link: on unidos-despacho-large, each of 760 registrations was sent to
+/// each of 327 daemons.
 #[test]
-fn daemons_that_route_requests_learn_of_groups_that_serve_and_of_plain_servers_alone() {
+fn non_voters_receive_only_serving_groups_and_plain_servers() {
     let mut leader = State::default();
-    let mut told = Vec::new();
-    let mut give = |leader: &mut State, command: GatewayCommand| {
+    let mut sent = Vec::new();
+    let mut apply_and_send = |leader: &mut State, command: GatewayCommand| {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         leader.apply(&command);
-        told.extend(command.for_followers(&leader.tables));
+        sent.extend(command.for_followers(&leader.tables));
     };
     for (id, port) in [("a", 1), ("b", 2), ("c", 3)] {
-        give(&mut leader, GatewayCommand::Register(row(id, port)));
+        apply_and_send(&mut leader, GatewayCommand::Register(row(id, port)));
     }
-    give(&mut leader, GatewayCommand::Register(InstanceRow { domain: None, ..row("plain", 4) }));
+    apply_and_send(&mut leader, GatewayCommand::Register(InstanceRow { domain: None, ..row("plain", 4) }));
     let form = |members: &[&str]| GatewayCommand::Form {
         service: "s".to_string(),
         model: "m".to_string(),
@@ -163,40 +165,40 @@
         reason: String::new(),
     };
     let phase = |epoch, phase| GatewayCommand::SetPhase { epoch, phase, reason: String::new() };
-    give(&mut leader, form(&["a", "b"]));
-    give(&mut leader, phase(1, GroupPhase::Opening));
-    give(&mut leader, phase(1, GroupPhase::Open));
-    give(&mut leader, form(&["c"]));
+    apply_and_send(&mut leader, form(&["a", "b"]));
+    apply_and_send(&mut leader, phase(1, GroupPhase::Opening));
+    apply_and_send(&mut leader, phase(1, GroupPhase::Open));
+    apply_and_send(&mut leader, form(&["c"]));
     let serving = |state: &State| -> Vec<(u64, GroupPhase)> {
         state.tables.gateway.groups.values().map(|group| (group.epoch, group.phase)).collect()
     };
-    let follower = follower_of(&leader, &told);
-    assert_eq!(serving(&follower), [(1, GroupPhase::Open)]);
-    let ids: Vec<&String> = follower.tables.gateway.instances.keys().collect();
+    let non_voter = non_voter_state(&leader, &sent);
+    assert_eq!(serving(&non_voter), [(1, GroupPhase::Open)]);
+    let ids: Vec<&String> = non_voter.tables.gateway.instances.keys().collect();
     assert_eq!(ids, ["plain"]);
-    assert_eq!(told.len(), 2, "{told:?}");
-    let copy = State::decode(&leader.encode_for_followers()).expect("it can be read");
+    assert_eq!(sent.len(), 2, "{sent:?}");
+    let copy = State::decode(&leader.encode_for_followers()).expect("the encoded state is readable");
     assert_eq!(serving(&copy), [(1, GroupPhase::Open)]);
-    assert_eq!(copy.tables.gateway.instances, follower.tables.gateway.instances);
+    assert_eq!(copy.tables.gateway.instances, non_voter.tables.gateway.instances);
 
-    let mut give = |leader: &mut State, command: GatewayCommand| {
+    let mut apply_and_send = |leader: &mut State, command: GatewayCommand| {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         leader.apply(&command);
-        told.extend(command.for_followers(&leader.tables));
+        sent.extend(command.for_followers(&leader.tables));
     };
-    give(&mut leader, phase(1, GroupPhase::Draining));
-    give(&mut leader, phase(2, GroupPhase::Cutting));
-    assert_eq!(serving(&follower_of(&leader, &told)), [(1, GroupPhase::Draining)]);
+    apply_and_send(&mut leader, phase(1, GroupPhase::Draining));
+    apply_and_send(&mut leader, phase(2, GroupPhase::Cutting));
+    assert_eq!(serving(&non_voter_state(&leader, &sent)), [(1, GroupPhase::Draining)]);
 }
 
 #[test]
-fn a_state_that_was_read_back_knows_which_group_holds_an_instance() {
+fn a_decoded_state_knows_the_group_of_each_instance() {
     let mut state = State::default();
     for (id, port) in [("a", 1), ("b", 2)] {
         register(&mut state, id, port);
     }
     assert_eq!(form(&mut state, &["a", "b"]), Outcome::Applied);
-    let mut copy = State::decode(&state.encode()).expect("it can be read");
+    let mut copy = State::decode(&state.encode()).expect("the encoded state is readable");
     assert_eq!(copy.tables.gateway.group_of("b").map(|group| group.epoch), Some(1));
     apply(&mut copy, GatewayCommand::End { epoch: 1, reason: String::new() });
     assert!(copy.tables.gateway.group_of("b").is_none());
@@ -207,60 +209,67 @@
 }
 
 #[test]
-fn a_late_copy_of_an_evacuation_does_not_undo_its_withdrawal() {
+fn a_delayed_evacuation_call_does_not_undo_its_withdrawal() {
     let mut state = State::default();
     assert_eq!(evacuate(&mut state, true, 0), Outcome::Applied);
-    assert_eq!(evacuate(&mut state, true, 0), Outcome::Applied, "a repetition finds it so");
+    assert_eq!(evacuate(&mut state, true, 0), Outcome::Applied, "a repetition finds the zone evacuated");
     assert_eq!(evacuate(&mut state, false, 1), Outcome::Applied);
     assert!(matches!(evacuate(&mut state, true, 0), Outcome::Refused(_)));
     assert!(!state.tables.gateway.is_evacuated("z"));
     assert_eq!(evacuate(&mut state, true, 2), Outcome::Applied);
     let copy = State::decode(&state.encode_for_followers()).map(|copy| copy.tables.gateway.is_evacuated("z"));
-    assert_eq!(copy, Ok(true), "daemons that are no voters learn of it");
+    assert_eq!(copy, Ok(true), "non-voters receive the evacuation");
 }
 
-/// Daemons that are no voters hold no engines: they learn from the group whether its head is cold.
+/// Non-voters hold no engine rows: they learn from the group row whether its head is cold.
 #[test]
-fn a_group_is_as_cold_as_its_head_and_daemons_that_route_requests_learn_of_it() {
+fn a_group_is_as_cold_as_its_head_also_on_non_voters() {
     let mut leader = State::default();
-    let mut told = Vec::new();
-    let mut give = |leader: &mut State, command: GatewayCommand| {
+    let mut sent = Vec::new();
+    let mut apply_and_send = |leader: &mut State, command: GatewayCommand| {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         leader.apply(&command);
-        told.extend(command.for_followers(&leader.tables));
-        let follower = follower_of(leader, &told);
+        sent.extend(command.for_followers(&leader.tables));
+        let non_voter = non_voter_state(leader, &sent);
         let is_cold = |state: &State| state.tables.gateway.groups.get(&1).map(|group| group.head_is_cold);
-        (is_cold(leader), is_cold(&follower))
+        (is_cold(leader), is_cold(&non_voter))
     };
     let report = |id: &str, port, is_cold| GatewayCommand::Register(InstanceRow { is_cold, ..row(id, port) });
-    give(&mut leader, report("head", 1, true));
-    give(&mut leader, report("member", 2, false));
+    apply_and_send(&mut leader, report("head", 1, true));
+    apply_and_send(&mut leader, report("member", 2, false));
     let members = vec!["head".to_string(), "member".to_string()];
     let (service, model, purpose) = ("s".to_string(), "m".to_string(), GroupPurpose::Serve);
-    give(&mut leader, GatewayCommand::Form { service, model, members, purpose, reason: String::new() });
-    assert_eq!(give(&mut leader, report("head", 1, false)), (Some(false), None), "it does not serve yet");
-    assert_eq!(give(&mut leader, report("head", 1, true)), (Some(true), None));
+    apply_and_send(
+        &mut leader,
+        GatewayCommand::Form { service, model, members, purpose, reason: String::new() },
+    );
+    assert_eq!(
+        apply_and_send(&mut leader, report("head", 1, false)),
+        (Some(false), None),
+        "the group does not serve yet"
+    );
+    assert_eq!(apply_and_send(&mut leader, report("head", 1, true)), (Some(true), None));
     let open = GatewayCommand::SetPhase { epoch: 1, phase: GroupPhase::Open, reason: String::new() };
-    assert_eq!(give(&mut leader, open), (Some(true), Some(true)));
-    assert_eq!(give(&mut leader, report("head", 1, false)), (Some(false), Some(false)));
+    assert_eq!(apply_and_send(&mut leader, open), (Some(true), Some(true)));
+    assert_eq!(apply_and_send(&mut leader, report("head", 1, false)), (Some(false), Some(false)));
     assert_eq!(
-        give(&mut leader, report("member", 2, true)),
+        apply_and_send(&mut leader, report("member", 2, true)),
         (Some(false), Some(false)),
-        "it is not the head"
+        "the instance is not the head"
     );
-    assert_eq!(give(&mut leader, report("head", 1, true)), (Some(true), Some(true)));
-    let copy = State::decode(&leader.encode_for_followers()).expect("it can be read");
+    assert_eq!(apply_and_send(&mut leader, report("head", 1, true)), (Some(true), Some(true)));
+    let copy = State::decode(&leader.encode_for_followers()).expect("the encoded state is readable");
     assert!(copy.tables.gateway.groups[&1].head_is_cold);
 }
 
-/// The first call may still be on its way to the log when its caller gives up and asks for the opposite, which finds
-/// the zone as it asks for.
+/// A call may still be in flight when its caller times out and requests the opposite, which finds the zone already in
+/// the requested state.
 #[test]
-fn a_withdrawal_that_finds_nothing_to_withdraw_overtakes_the_evacuation_on_its_way() {
+fn a_withdrawal_overtakes_an_evacuation_that_is_still_in_flight() {
     let mut state = State::default();
     assert_eq!(evacuate(&mut state, false, 0), Outcome::Applied);
-    let late = evacuate(&mut state, true, 0);
-    let code = match late {
+    let overtaken = evacuate(&mut state, true, 0);
+    let code = match overtaken {
         Outcome::Refused(error) => Some(error.code()),
         _ => None,
     };
@@ -270,8 +279,8 @@
     assert_eq!(state.tables.gateway.evacuated_zones().collect::<Vec<&str>>(), ["z"]);
 }
 
-/// A service whose servers may be cold, another one, and a group that is open.
-fn services_of_two_kinds() -> State {
+/// A state with one service that has cold starts, one that has none, and an open group.
+fn services_with_and_without_cold_starts() -> State {
     let service = |name: &str, cold_start| ServiceProfile {
         name: name.to_string(),
         health_path: "/".to_string(),
@@ -302,9 +311,9 @@
 }
 
 #[test]
-fn servers_of_a_zone_that_comes_back_are_presumed_to_be_cold() {
-    let mut state = services_of_two_kinds();
-    let mut follower = State::decode(&state.encode_for_followers()).expect("it can be read");
+fn servers_of_a_zone_are_presumed_cold_after_its_evacuation() {
+    let mut state = services_with_and_without_cold_starts();
+    let mut non_voter = State::decode(&state.encode_for_followers()).expect("the encoded state is readable");
     let is_cold = |state: &State, id: &str| state.tables.gateway.instances.get(id).map(|row| row.is_cold);
     let heads = |state: &State| -> Vec<bool> {
         state.tables.gateway.groups.values().map(|group| group.head_is_cold).collect()
@@ -313,19 +322,19 @@
         assert_eq!(
             (is_cold(&state, "head"), heads(&state)),
             (Some(false), vec![false]),
-            "not before the end"
+            "not before the evacuation ends"
         );
         let zone = "z".to_string();
         let body = CommandBody::Gateway(GatewayCommand::SetEvacuation { zone, evacuated, generation });
         let command = Command { at_ms: 1, body };
         state.apply(&command);
-        let told = command.for_followers(&state.tables).expect("followers are told");
-        follower.apply(&told);
+        let sent = command.for_followers(&state.tables).expect("the command is sent to non-voters");
+        non_voter.apply(&sent);
     }
     let cold = |state: &State| ["head", "plain", "even", "elsewhere"].map(|id| is_cold(state, id));
     assert_eq!(cold(&state), [Some(true), Some(true), Some(false), Some(false)]);
-    assert_eq!(cold(&follower), [None, Some(true), Some(false), Some(false)]);
-    assert_eq!((heads(&state), heads(&follower)), (vec![true], vec![true]));
+    assert_eq!(cold(&non_voter), [None, Some(true), Some(false), Some(false)]);
+    assert_eq!((heads(&state), heads(&non_voter)), (vec![true], vec![true]));
     apply(&mut state, GatewayCommand::Register(InstanceRow { domain: None, ..row("plain", 2) }));
-    assert_eq!(is_cold(&state, "plain"), Some(false), "its next report says otherwise");
+    assert_eq!(is_cold(&state, "plain"), Some(false), "the next report overrides the presumption");
 }
--- a/crates/state/tests/restarts.rs
+++ b/crates/state/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under their id.
+//! Servers that restart under the same id.
 
 mod common;
 
@@ -14,13 +14,13 @@
     apply(state, GatewayCommand::Register(row))
 }
 
-/// The row of "b", the second member of a group.
+/// A row of `b`, the second member of the group.
 fn member(started_ms: u64) -> InstanceRow {
     InstanceRow { started_ms: Some(started_ms), ..row("b", 2) }
 }
 
-/// A group of "a" and "b" that serves.
-fn serving() -> State {
+/// A state with an open group of `a` and `b`.
+fn open_group() -> State {
     let mut state = State::default();
     register_row(&mut state, started("a", 10));
     register_row(&mut state, member(10));
@@ -32,34 +32,34 @@
 }
 
 #[test]
-fn a_server_that_starts_again_under_its_id_holds_nothing_of_before() {
-    let mut state = serving();
+fn a_restarted_server_loses_its_model_and_group() {
+    let mut state = open_group();
     assert_eq!(state.tables.gateway.last_model("b"), Some("m"));
     register_row(&mut state, member(20));
     let gateway = &state.tables.gateway;
-    assert_eq!(gateway.groups[&1].phase, GroupPhase::Cutting, "its group has lost a member");
+    assert_eq!(gateway.groups[&1].phase, GroupPhase::Cutting, "the group has lost a member");
     assert_eq!(gateway.last_model("b"), None);
     assert_eq!(gateway.last_model("a"), Some("m"));
 }
 
 #[test]
-fn daemons_that_route_learn_that_a_group_has_lost_a_member_that_started_again() {
-    let mut state = serving();
-    let again = GatewayCommand::Register(member(20));
-    let command = Command { at_ms: 1, body: CommandBody::Gateway(again) };
+fn non_voters_learn_that_a_group_lost_a_restarted_member() {
+    let mut state = open_group();
+    let restarted = GatewayCommand::Register(member(20));
+    let command = Command { at_ms: 1, body: CommandBody::Gateway(restarted) };
     state.apply(&command);
     let sent = command.for_followers(&state.tables).map(|command| command.body);
-    let cutting = |body: &CommandBody| {
+    let is_cutting = |body: &CommandBody| {
         matches!(
             body,
             CommandBody::Gateway(GatewayCommand::SetPhase { epoch: 1, phase: GroupPhase::Cutting, .. })
         )
     };
-    assert!(sent.as_ref().is_some_and(cutting), "{sent:?}");
+    assert!(sent.as_ref().is_some_and(is_cutting), "{sent:?}");
 }
 
 #[test]
-fn a_report_of_a_former_start_is_refused() {
+fn a_report_of_an_earlier_process_is_refused() {
     let mut state = State::default();
     register_row(&mut state, started("a", 20));
     let outcome = register_row(&mut state, InstanceRow { slots: 9, ..started("a", 10) });
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn only_a_later_start_returns_after_it_was_removed() {
+fn after_a_removal_only_a_later_process_may_register() {
     let mut state = State::default();
     register_row(&mut state, started("a", 10));
     apply(&mut state, GatewayCommand::SignOff { id: "a".to_string() });
     apply(&mut state, GatewayCommand::Remove { id: "a".to_string() });
-    let mut state = State::decode(&state.encode()).expect("as it was stored");
-    for late in [started("a", 10), started("a", 9), row("a", 1)] {
-        assert!(matches!(register_row(&mut state, late), Outcome::Refused(_)));
+    let mut state = State::decode(&state.encode()).expect("the encoded state is readable");
+    for outdated in [started("a", 10), started("a", 9), row("a", 1)] {
+        assert!(matches!(register_row(&mut state, outdated), Outcome::Refused(_)));
     }
     register_row(&mut state, started("a", 11));
     assert_eq!(state.tables.gateway.instances["a"].state, InstanceState::Ready);
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! How evidence against requests is summed, which of them come under quarantine, and how they leave it.
+//! How crash reports are aggregated, and how requests are quarantined and released.
 
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{Fingerprint, InstanceState, RequestIdentity};
@@ -8,15 +8,15 @@
 };
 
 const MINUTE_MS: u64 = 60_000;
-/// Servers of one zone that end under a request before it comes under quarantine.
+/// Number of crashes in a single zone after which a request is quarantined.
 const CRASHES_IN_ONE_ZONE: usize = 5;
-/// A time for which any quarantine is over, and none is forgotten.
+/// Time after which a first quarantine has ended and its probation is still running.
 const PROBATION_MS: u64 = 11 * MINUTE_MS;
-/// Servers end some seconds apart, unless a test says otherwise.
-const APART_MS: u64 = 3_000;
+/// Default time between crashes.
+const CRASH_INTERVAL_MS: u64 = 3_000;
 
-/// The fingerprint of a tenant's request.
-fn request(name: &str) -> Fingerprint {
+/// The fingerprint of a request.
+fn fingerprint(name: &str) -> Fingerprint {
     let identity = RequestIdentity {
         tenant: Some("tenant"),
         method: "POST",
@@ -27,20 +27,20 @@
     Fingerprint::of(&identity)
 }
 
-/// A fleet's table at a time.
+/// The gateway's tables at a simulated time.
 #[derive(Default)]
-struct World {
+struct Harness {
     tables: GatewayTables,
     now_ms: u64,
     trials: u64,
-    /// All commands, in order.
-    told: Vec<GatewayCommand>,
+    /// All commands that were applied, in order.
+    commands: Vec<GatewayCommand>,
 }
 
-impl World {
+impl Harness {
     fn apply(&mut self, command: GatewayCommand) -> Outcome {
         let outcome = self.tables.apply(&command).outcome;
-        self.told.push(command);
+        self.commands.push(command);
         outcome
     }
 
@@ -59,15 +59,15 @@
         self.apply(GatewayCommand::Register(row));
     }
 
-    fn end_told_by(&mut self, daemon: &str, instance: &str, zone: &str, requests: &[&str]) {
-        let tried = |name: &&str| SuspectTry {
-            fingerprint: request(name),
+    fn report_crash(&mut self, daemon: &str, instance: &str, zone: &str, requests: &[&str]) {
+        let attempt = |name: &&str| SuspectTry {
+            fingerprint: fingerprint(name),
             request: format!("try-{name}"),
             tenant: Some("tenant".to_string()),
             route: "route".to_string(),
         };
         let (instance, zone, daemon) = (instance.to_string(), zone.to_string(), daemon.to_string());
-        let tries = requests.iter().map(tried).collect();
+        let tries = requests.iter().map(attempt).collect();
         self.apply(GatewayCommand::ServerEnded(ServerEnd {
             instance,
             zone,
@@ -77,19 +77,19 @@
         }));
     }
 
-    /// A server ends with these requests; some seconds pass.
-    fn end(&mut self, instance: &str, zone: &str, requests: &[&str]) {
-        self.end_told_by("entry", instance, zone, requests);
-        self.now_ms += APART_MS;
+    /// Reports a crash of a server that was running these requests, and advances the time.
+    fn crash(&mut self, instance: &str, zone: &str, requests: &[&str]) {
+        self.report_crash("entry", instance, zone, requests);
+        self.now_ms += CRASH_INTERVAL_MS;
     }
 
-    fn standing(&self, name: &str) -> Standing {
-        self.tables.suspicion.standing(request(name), self.now_ms)
+    fn status(&self, name: &str) -> Standing {
+        self.tables.suspicion.standing(fingerprint(name), self.now_ms)
     }
 
-    fn asks(&mut self, name: &str, instance: &str, may_share: bool) -> Outcome {
+    fn begin_trial(&mut self, name: &str, instance: &str, may_share: bool) -> Outcome {
         self.trials += 1;
-        let (fingerprint, trial, at_ms) = (request(name), self.trials, self.now_ms);
+        let (fingerprint, trial, at_ms) = (fingerprint(name), self.trials, self.now_ms);
         let instance = instance.to_string();
         self.apply(GatewayCommand::BeginTrial(TrialRequest {
             fingerprint,
@@ -102,11 +102,11 @@
 
     fn clear(&mut self, name: &str) {
         let reason = String::new();
-        self.apply(GatewayCommand::ClearRequest { fingerprint: request(name), reason });
+        self.apply(GatewayCommand::ClearRequest { fingerprint: fingerprint(name), reason });
     }
 }
 
-fn refused(outcome: Outcome) -> Option<ResultCode> {
+fn refusal(outcome: Outcome) -> Option<ResultCode> {
     match outcome {
         Outcome::Refused(error) => Some(error.code()),
         _ => None,
@@ -114,294 +114,295 @@
 }
 
 #[test]
-fn the_third_server_in_more_than_one_zone_puts_a_request_under_quarantine() {
-    let mut world = World::default();
-    world.end("a", "z", &["fatal", "one"]);
-    world.end("b", "y", &["fatal", "two"]);
-    assert_eq!(world.standing("fatal"), Standing::Suspect);
-    world.end("c", "z", &["fatal", "three"]);
-    assert_eq!(world.standing("fatal"), Standing::Quarantined);
+fn the_third_crash_in_more_than_one_zone_quarantines_a_request() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["fatal", "one"]);
+    harness.crash("b", "y", &["fatal", "two"]);
+    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    harness.crash("c", "z", &["fatal", "three"]);
+    assert_eq!(harness.status("fatal"), Standing::Quarantined);
     for name in ["one", "two", "three"] {
-        assert_eq!(world.standing(name), Standing::Unsuspected, "{name} shared one server with it");
+        assert_eq!(harness.status(name), Standing::Unsuspected, "{name} only shared one server with it");
     }
-    let row = &world.tables.suspicion.quarantined[&request("fatal")];
+    let row = &harness.tables.suspicion.quarantined[&fingerprint("fatal")];
     assert_eq!(row.evidence.len(), 3);
     assert_eq!(row.evidence.iter().filter(|evidence| evidence.request == "try-fatal").count(), 3);
 }
 
-/// A rack that fails one machine after the other takes the requests with it that are moved within its zone.
+/// Guards against quarantining requests that are moved within a zone in which a rack fails one machine at a time.
 #[test]
-fn servers_of_one_zone_take_two_more() {
-    let mut world = World::default();
+fn crashes_in_one_zone_quarantine_only_after_two_more() {
+    let mut harness = Harness::default();
     for (number, instance) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        world.end(instance, "z", &["moved"]);
-        assert_eq!(world.standing("moved"), Standing::Suspect, "after {} servers", number + 1);
+        harness.crash(instance, "z", &["moved"]);
+        assert_eq!(harness.status("moved"), Standing::Suspect, "after {} servers", number + 1);
     }
-    world.end("e", "z", &["moved"]);
-    assert_eq!(world.standing("moved"), Standing::Quarantined);
+    harness.crash("e", "z", &["moved"]);
+    assert_eq!(harness.status("moved"), Standing::Quarantined);
 }
 
 #[test]
-fn one_end_counts_once_whoever_tells_of_it_and_however_often() {
-    let mut world = World::default();
+fn a_crash_counts_once_whoever_reports_it_and_however_often() {
+    let mut harness = Harness::default();
     for daemon in ["entry-1", "entry-2", "entry-1"] {
-        world.end_told_by(daemon, "a", "z", &["fatal"]);
-        world.end_told_by(daemon, "b", "y", &["fatal"]);
+        harness.report_crash(daemon, "a", "z", &["fatal"]);
+        harness.report_crash(daemon, "b", "y", &["fatal"]);
     }
-    assert_eq!(world.standing("fatal"), Standing::Suspect);
-    assert_eq!(world.tables.suspicion.crashes_against(request("fatal")).len(), 2);
+    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    assert_eq!(harness.tables.suspicion.crashes_against(fingerprint("fatal")).len(), 2);
 }
 
 #[test]
-fn a_new_try_that_ends_the_same_instance_a_second_later_is_another_end() {
-    let mut world = World::default();
+fn a_new_attempt_that_crashes_the_same_instance_shortly_after_counts_as_another_crash() {
+    let mut harness = Harness::default();
     for number in 0..CRASHES_IN_ONE_ZONE {
-        let tried = SuspectTry {
-            fingerprint: request("fatal"),
+        let attempt = SuspectTry {
+            fingerprint: fingerprint("fatal"),
             request: format!("try-{number}"),
             tenant: None,
             route: "route".to_string(),
         };
         let (instance, zone, daemon) = ("a".to_string(), "z".to_string(), "entry".to_string());
-        let end = ServerEnd { instance, zone, at_ms: world.now_ms, daemon, tries: vec![tried] };
-        // A repetition of the same word is of the same end, whenever it arrives.
-        world.apply(GatewayCommand::ServerEnded(end.clone()));
-        world.apply(GatewayCommand::ServerEnded(end));
-        world.now_ms += 700;
+        let report = ServerEnd { instance, zone, at_ms: harness.now_ms, daemon, tries: vec![attempt] };
+        // A repetition of the same report refers to the same crash, whenever it arrives.
+        harness.apply(GatewayCommand::ServerEnded(report.clone()));
+        harness.apply(GatewayCommand::ServerEnded(report));
+        harness.now_ms += 700;
     }
-    assert_eq!(world.standing("fatal"), Standing::Quarantined);
+    assert_eq!(harness.status("fatal"), Standing::Quarantined);
 }
 
-/// A server may start again under its id.
+/// A server may restart under the same id.
 #[test]
-fn a_later_end_of_the_same_instance_is_another_one() {
-    let mut world = World::default();
+fn a_later_crash_of_the_same_instance_counts_separately() {
+    let mut harness = Harness::default();
     for zone in ["z", "y", "z"] {
-        world.end("a", zone, &["fatal"]);
+        harness.crash("a", zone, &["fatal"]);
     }
-    assert_eq!(world.standing("fatal"), Standing::Quarantined);
+    assert_eq!(harness.status("fatal"), Standing::Quarantined);
 }
 
 #[test]
-fn what_only_shared_servers_with_a_stronger_suspect_is_not_suspected() {
-    let mut world = World::default();
-    world.end("a", "z", &["fatal", "one"]);
-    assert_eq!(world.standing("one"), Standing::Suspect, "nothing tells them apart yet");
-    world.end("b", "y", &["fatal", "two"]);
-    assert_eq!(world.standing("one"), Standing::Unsuspected);
-    assert_eq!(world.standing("two"), Standing::Unsuspected);
-    assert_eq!(world.standing("fatal"), Standing::Suspect);
+fn requests_that_only_shared_a_server_with_a_stronger_suspect_are_not_suspected() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["fatal", "one"]);
+    assert_eq!(harness.status("one"), Standing::Suspect, "one crash does not distinguish them");
+    harness.crash("b", "y", &["fatal", "two"]);
+    assert_eq!(harness.status("one"), Standing::Unsuspected);
+    assert_eq!(harness.status("two"), Standing::Unsuspected);
+    assert_eq!(harness.status("fatal"), Standing::Suspect);
 }
 
 #[test]
-fn a_whole_answer_clears_a_request() {
-    let mut world = World::default();
-    world.end("a", "z", &["innocent"]);
-    world.end("b", "y", &["innocent"]);
-    world.clear("innocent");
-    assert_eq!(world.standing("innocent"), Standing::Unsuspected);
-    world.end("c", "z", &["innocent"]);
-    assert_eq!(world.standing("innocent"), Standing::Suspect, "what was before doesn't count");
+fn a_complete_response_clears_a_request() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["innocent"]);
+    harness.crash("b", "y", &["innocent"]);
+    harness.clear("innocent");
+    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
+    harness.crash("c", "z", &["innocent"]);
+    assert_eq!(harness.status("innocent"), Standing::Suspect, "crashes before the clearance do not count");
 }
 
 #[test]
-fn a_request_is_tried_at_one_server_at_a_time() {
-    let mut world = World::default();
-    world.end("a", "z", &["fatal"]);
-    assert_eq!(refused(world.asks("fatal", "b", false)), None);
-    assert_eq!(refused(world.asks("fatal", "c", false)), Some(ResultCode::TrialUnderWay));
-    // The trial tells something: its server ends.
-    world.end("b", "y", &["fatal"]);
-    assert_eq!(refused(world.asks("fatal", "c", false)), None);
-    // Its daemon is lost with it: it ends by its time.
-    world.now_ms += APART_MS;
-    assert_eq!(refused(world.asks("fatal", "d", false)), None);
+fn a_suspect_is_tried_on_one_server_at_a_time() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["fatal"]);
+    assert_eq!(refusal(harness.begin_trial("fatal", "b", false)), None);
+    assert_eq!(refusal(harness.begin_trial("fatal", "c", false)), Some(ResultCode::TrialUnderWay));
+    // The server on trial crashes, which ends the trial.
+    harness.crash("b", "y", &["fatal"]);
+    assert_eq!(refusal(harness.begin_trial("fatal", "c", false)), None);
+    // The trial of a daemon that failed expires.
+    harness.now_ms += CRASH_INTERVAL_MS;
+    assert_eq!(refusal(harness.begin_trial("fatal", "d", false)), None);
 }
 
 #[test]
-fn a_trial_that_is_asked_for_again_after_a_lost_answer_is_the_same() {
-    let mut world = World::default();
-    world.end("a", "z", &["fatal"]);
-    assert_eq!(refused(world.asks("fatal", "b", false)), None);
-    world.trials -= 1;
-    assert_eq!(refused(world.asks("fatal", "b", false)), None);
+fn a_trial_requested_again_after_a_lost_reply_is_granted_again() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["fatal"]);
+    assert_eq!(refusal(harness.begin_trial("fatal", "b", false)), None);
+    harness.trials -= 1;
+    assert_eq!(refusal(harness.begin_trial("fatal", "b", false)), None);
 }
 
 #[test]
-fn a_trial_that_tells_nothing_makes_room_for_the_next() {
-    let mut world = World::default();
-    world.end("a", "z", &["fatal"]);
-    world.asks("fatal", "b", false);
-    let trial = world.trials;
-    world.apply(GatewayCommand::EndTrial { fingerprint: request("fatal"), trial: trial + 1 });
+fn a_trial_that_ends_without_a_result_allows_the_next() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["fatal"]);
+    harness.begin_trial("fatal", "b", false);
+    let trial = harness.trials;
+    harness.apply(GatewayCommand::EndTrial { fingerprint: fingerprint("fatal"), trial: trial + 1 });
     assert_eq!(
-        refused(world.asks("fatal", "c", false)),
+        refusal(harness.begin_trial("fatal", "c", false)),
         Some(ResultCode::TrialUnderWay),
-        "another one's end"
+        "the end of another trial has no effect"
     );
-    world.apply(GatewayCommand::EndTrial { fingerprint: request("fatal"), trial });
-    assert_eq!(refused(world.asks("fatal", "c", false)), None);
+    harness.apply(GatewayCommand::EndTrial { fingerprint: fingerprint("fatal"), trial });
+    assert_eq!(refusal(harness.begin_trial("fatal", "c", false)), None);
 }
 
 #[test]
-fn suspects_share_a_server_only_if_they_may_and_were_at_one_end_each() {
-    let mut world = World::default();
-    world.end("a", "z", &["one", "two"]);
-    assert_eq!(refused(world.asks("one", "b", false)), None);
-    assert_eq!(refused(world.asks("two", "b", false)), Some(ResultCode::ServerOnTrial));
-    assert_eq!(refused(world.asks("two", "b", true)), None);
-    world.end("b", "y", &["one", "two"]);
-    assert_eq!(refused(world.asks("one", "c", true)), None);
-    assert_eq!(refused(world.asks("two", "c", true)), Some(ResultCode::ServerOnTrial));
-    assert!(world.tables.suspicion.is_in_danger("c"));
-    assert!(!world.tables.suspicion.is_in_danger("b"));
+fn suspects_share_a_server_only_if_allowed_and_involved_in_one_crash_each() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["one", "two"]);
+    assert_eq!(refusal(harness.begin_trial("one", "b", false)), None);
+    assert_eq!(refusal(harness.begin_trial("two", "b", false)), Some(ResultCode::ServerOnTrial));
+    assert_eq!(refusal(harness.begin_trial("two", "b", true)), None);
+    harness.crash("b", "y", &["one", "two"]);
+    assert_eq!(refusal(harness.begin_trial("one", "c", true)), None);
+    assert_eq!(refusal(harness.begin_trial("two", "c", true)), Some(ResultCode::ServerOnTrial));
+    assert!(harness.tables.suspicion.is_in_danger("c"));
+    assert!(!harness.tables.suspicion.is_in_danger("b"));
 }
 
 #[test]
-fn after_its_time_a_request_is_on_probation_and_the_next_server_doubles_it() {
-    let mut world = World::default();
+fn a_crash_during_probation_doubles_the_quarantine() {
+    let mut harness = Harness::default();
     for (instance, zone) in [("a", "z"), ("b", "y"), ("c", "z")] {
-        world.end(instance, zone, &["fatal"]);
+        harness.crash(instance, zone, &["fatal"]);
     }
-    assert_eq!(refused(world.asks("fatal", "d", false)), Some(ResultCode::RequestQuarantined));
-    let first = world.tables.suspicion.quarantined[&request("fatal")].clone();
-    world.now_ms += PROBATION_MS;
-    assert_eq!(world.standing("fatal"), Standing::Suspect);
-    assert_eq!(refused(world.asks("fatal", "d", false)), None);
-    world.end("d", "z", &["fatal", "beside"]);
-    assert_eq!(world.standing("fatal"), Standing::Quarantined);
-    assert_eq!(world.standing("beside"), Standing::Unsuspected, "the cause is known");
-    let second = &world.tables.suspicion.quarantined[&request("fatal")];
+    assert_eq!(refusal(harness.begin_trial("fatal", "d", false)), Some(ResultCode::RequestQuarantined));
+    let first = harness.tables.suspicion.quarantined[&fingerprint("fatal")].clone();
+    harness.now_ms += PROBATION_MS;
+    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    assert_eq!(refusal(harness.begin_trial("fatal", "d", false)), None);
+    harness.crash("d", "z", &["fatal", "beside"]);
+    assert_eq!(harness.status("fatal"), Standing::Quarantined);
+    assert_eq!(harness.status("beside"), Standing::Unsuspected, "the cause of the crash is known");
+    let second = &harness.tables.suspicion.quarantined[&fingerprint("fatal")];
     assert_eq!(second.until_ms - second.since_ms, 2 * (first.until_ms - first.since_ms));
 }
 
-/// Tries that were on their way when it came under quarantine tell nothing new.
+/// Attempts that were in flight when the request was quarantined are no new evidence.
 #[test]
-fn more_servers_that_end_under_quarantine_do_not_renew_it() {
-    let mut world = World::default();
+fn further_crashes_during_a_quarantine_do_not_extend_it() {
+    let mut harness = Harness::default();
     for (instance, zone) in [("a", "z"), ("b", "y"), ("c", "z")] {
-        world.end(instance, zone, &["fatal"]);
+        harness.crash(instance, zone, &["fatal"]);
     }
-    let until = world.tables.suspicion.quarantined[&request("fatal")].until_ms;
-    world.end("d", "y", &["fatal"]);
-    let row = &world.tables.suspicion.quarantined[&request("fatal")];
+    let until = harness.tables.suspicion.quarantined[&fingerprint("fatal")].until_ms;
+    harness.crash("d", "y", &["fatal"]);
+    let row = &harness.tables.suspicion.quarantined[&fingerprint("fatal")];
     assert_eq!((row.until_ms, row.offences, row.evidence.len()), (until, 1, 4));
 }
 
 #[test]
-fn an_operator_releases_a_request_and_a_whole_answer_proves_a_quarantine_wrong() {
-    let mut world = World::default();
+fn a_release_or_a_complete_response_ends_a_quarantine() {
+    let mut harness = Harness::default();
     for (instance, zone) in [("a", "z"), ("b", "y"), ("c", "z")] {
-        world.end(instance, zone, &["fatal"]);
+        harness.crash(instance, zone, &["fatal"]);
     }
-    world.clear("fatal");
-    assert_eq!(world.standing("fatal"), Standing::Unsuspected);
-    assert!(world.tables.suspicion.quarantined.is_empty());
+    harness.clear("fatal");
+    assert_eq!(harness.status("fatal"), Standing::Unsuspected);
+    assert!(harness.tables.suspicion.quarantined.is_empty());
 }
 
-/// A server that leaves as planned may end before what it ran is whole.
+/// A server that shuts down as planned may end before its requests are complete.
 #[test]
-fn the_end_of_a_server_that_leaves_speaks_against_nothing() {
-    let mut world = World::default();
-    world.register("a", InstanceState::Draining);
-    world.end("a", "z", &["innocent"]);
-    assert_eq!(world.standing("innocent"), Standing::Unsuspected);
-    world.register("b", InstanceState::Ready);
-    world.apply(GatewayCommand::Remove { id: "b".to_string() });
-    world.end("b", "z", &["innocent"]);
-    assert_eq!(world.standing("innocent"), Standing::Unsuspected);
+fn the_end_of_a_draining_or_removed_server_is_no_evidence() {
+    let mut harness = Harness::default();
+    harness.register("a", InstanceState::Draining);
+    harness.crash("a", "z", &["innocent"]);
+    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
+    harness.register("b", InstanceState::Ready);
+    harness.apply(GatewayCommand::Remove { id: "b".to_string() });
+    harness.crash("b", "z", &["innocent"]);
+    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
 }
 
-/// Daemons that are not voters learn of it command by command, or by a copy, and come to the same.
+/// Non-voters receive single commands or a copy of the state, and reach the same result.
 #[test]
-fn followers_judge_as_voters_do() {
+fn non_voters_reach_the_same_verdicts_as_voters() {
     let mut voter = State::default();
-    let mut follower = State::default();
-    let mut world = World::default();
-    world.register("leaving", InstanceState::Draining);
+    let mut non_voter = State::default();
+    let mut harness = Harness::default();
+    harness.register("leaving", InstanceState::Draining);
     for round in 0..40_u64 {
         let (instance, zone) = (format!("a-{round}"), if round % 3 == 0 { "z" } else { "y" });
         let instance = if round % 7 == 0 { "leaving".to_string() } else { instance };
         let names = [format!("fatal-{}", round % 4), format!("beside-{round}")];
-        world.end(&instance, zone, &[&names[0], &names[1]]);
-        world.asks(&names[0], "b", true);
+        harness.crash(&instance, zone, &[&names[0], &names[1]]);
+        harness.begin_trial(&names[0], "b", true);
         if round % 11 == 10 {
-            world.clear(&names[0]);
+            harness.clear(&names[0]);
         }
     }
-    for command in std::mem::take(&mut world.told) {
+    for command in std::mem::take(&mut harness.commands) {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         voter.apply(&command);
-        if let Some(told) = command.for_followers(&voter.tables) {
-            follower.apply(&told);
+        if let Some(sent) = command.for_followers(&voter.tables) {
+            non_voter.apply(&sent);
         }
     }
-    let (voter, follower) = (voter.tables.gateway.suspicion, follower.tables.gateway.suspicion);
-    assert_eq!(voter.crashes, follower.crashes);
-    assert_eq!(voter.quarantined, follower.quarantined);
+    let (voter, non_voter) = (voter.tables.gateway.suspicion, non_voter.tables.gateway.suspicion);
+    assert_eq!(voter.crashes, non_voter.crashes);
+    assert_eq!(voter.quarantined, non_voter.quarantined);
     assert!(!voter.quarantined.is_empty() && !voter.crashes.is_empty());
 }
 
 #[test]
-fn old_evidence_and_probations_are_forgotten() {
-    let mut world = World::default();
-    world.end("a", "z", &["innocent"]);
+fn old_evidence_and_probations_expire() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["innocent"]);
     for (instance, zone) in [("b", "z"), ("c", "y"), ("d", "z")] {
-        world.end(instance, zone, &["fatal"]);
+        harness.crash(instance, zone, &["fatal"]);
     }
-    assert!(!world.tables.suspicion.has_expired(world.now_ms));
-    world.now_ms += 2 * PROBATION_MS;
-    assert!(world.tables.suspicion.has_expired(world.now_ms));
-    world.apply(GatewayCommand::ExpireSuspicions { at_ms: world.now_ms });
-    assert_eq!(world.standing("innocent"), Standing::Unsuspected);
-    assert_eq!(world.standing("fatal"), Standing::Unsuspected);
-    assert!(world.tables.suspicion.crashes.is_empty());
+    assert!(!harness.tables.suspicion.has_expired(harness.now_ms));
+    harness.now_ms += 2 * PROBATION_MS;
+    assert!(harness.tables.suspicion.has_expired(harness.now_ms));
+    harness.apply(GatewayCommand::ExpireSuspicions { at_ms: harness.now_ms });
+    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
+    assert_eq!(harness.status("fatal"), Standing::Unsuspected);
+    assert!(harness.tables.suspicion.crashes.is_empty());
 }
 
-/// A caller that sends ever new requests of this kind fills nothing; the oldest evidence goes first.
+/// Guards against unbounded growth when a caller keeps sending new requests that crash servers; the oldest evidence is
+/// evicted first.
 #[test]
-fn what_is_kept_is_bounded() {
-    let mut world = World::default();
+fn the_suspicion_table_is_bounded() {
+    let mut harness = Harness::default();
     for number in 0..3_000_u32 {
         let name = format!("fatal-{number}");
         let many: Vec<String> = (0..20).map(|other| format!("beside-{number}-{other}")).collect();
         let mut requests: Vec<&str> = many.iter().map(String::as_str).collect();
         requests.push(&name);
-        world.end(&format!("a-{number}"), "z", &requests);
+        harness.crash(&format!("a-{number}"), "z", &requests);
         for zone in ["y", "z"].iter().take(2 * (number as usize % 2)) {
-            world.end(&format!("{zone}-{number}"), zone, &[&name]);
+            harness.crash(&format!("{zone}-{number}"), zone, &[&name]);
         }
     }
-    assert!(world.tables.suspicion.crashes.len() <= 256, "{}", world.tables.suspicion.crashes.len());
-    assert!(world.tables.suspicion.quarantined.len() <= 1_024);
-    assert_eq!(world.standing("fatal-2999"), Standing::Quarantined, "the newest is kept");
-    assert_eq!(world.standing("fatal-1"), Standing::Unsuspected, "the oldest is not");
+    assert!(harness.tables.suspicion.crashes.len() <= 256, "{}", harness.tables.suspicion.crashes.len());
+    assert!(harness.tables.suspicion.quarantined.len() <= 1_024);
+    assert_eq!(harness.status("fatal-2999"), Standing::Quarantined, "the newest is retained");
+    assert_eq!(harness.status("fatal-1"), Standing::Unsuspected, "the oldest is evicted");
 }
 
 #[test]
-fn a_daemon_that_starts_anew_or_lags_is_sent_all_that_it_needs() {
-    let mut world = World::default();
-    world.end("a", "z", &["innocent"]);
+fn encoded_states_contain_suspicions_and_quarantines() {
+    let mut harness = Harness::default();
+    harness.crash("a", "z", &["innocent"]);
     for (instance, zone) in [("b", "z"), ("c", "y"), ("d", "z")] {
-        world.end(instance, zone, &["fatal"]);
+        harness.crash(instance, zone, &["fatal"]);
     }
     let mut state = State::default();
-    state.tables.gateway = world.tables;
+    state.tables.gateway = harness.tables;
     for bytes in [state.encode(), state.encode_for_followers()] {
-        let read = State::decode(&bytes).unwrap_or_else(|error| panic!("{error}"));
-        let suspicion = &read.tables.gateway.suspicion;
-        assert_eq!(suspicion.standing(request("fatal"), world.now_ms), Standing::Quarantined);
-        assert_eq!(suspicion.standing(request("innocent"), world.now_ms), Standing::Suspect);
+        let decoded = State::decode(&bytes).unwrap_or_else(|error| panic!("{error}"));
+        let suspicion = &decoded.tables.gateway.suspicion;
+        assert_eq!(suspicion.standing(fingerprint("fatal"), harness.now_ms), Standing::Quarantined);
+        assert_eq!(suspicion.standing(fingerprint("innocent"), harness.now_ms), Standing::Suspect);
     }
 }
 
-/// What the version before this table wrote: the first byte names it.
+/// A state written by the version that had no suspicion table; its first byte is the format version.
 #[test]
-fn a_state_without_suspicions_is_read() {
-    const BEFORE: u8 = 3;
+fn a_state_of_the_format_without_suspicions_is_readable() {
+    const VERSION_WITHOUT_SUSPICIONS: u8 = 3;
     let mut bytes = State::default().encode();
-    // Nothing is stored of an empty table but four empty parts.
+    // An empty suspicion table and the empty start times take four bytes.
     bytes.truncate(bytes.len() - 4);
-    bytes[0] = BEFORE;
+    bytes[0] = VERSION_WITHOUT_SUSPICIONS;
     assert_eq!(State::decode(&bytes), Ok(State::default()));
 }
--- a/crates/state/tests/suspicion_properties.rs
+++ b/crates/state/tests/suspicion_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of the table of suspicions whatever daemons tell, in whatever order.
+//! Properties of the suspicion table that hold for any sequence of reports.
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_state::{
@@ -9,28 +9,28 @@
 
 const REQUESTS: u8 = 8;
 const SERVERS: u8 = 6;
-/// Servers that must have ended under a request before it may come under quarantine.
-const LEAST_CRASHES: usize = 3;
+/// Minimum number of crashes before a request may be quarantined.
+const MIN_CRASHES: usize = 3;
 
-/// What a daemon tells or asks.
+/// A report or call of a daemon, or the passage of time.
 #[derive(Clone, Debug)]
 enum Step {
-    Ended { server: u8, requests: Vec<u8>, daemon: u8 },
-    Tries { request: u8, server: u8, may_share: bool },
-    Answered { request: u8 },
-    Passes { ms: u64 },
+    Crash { server: u8, requests: Vec<u8>, daemon: u8 },
+    Trial { request: u8, server: u8, may_share: bool },
+    Response { request: u8 },
+    Wait { ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let requests = prop::collection::vec(0..REQUESTS, 1..4);
     prop_oneof![
         4 => (0..SERVERS, requests, 0..3_u8)
-            .prop_map(|(server, requests, daemon)| Step::Ended { server, requests, daemon }),
+            .prop_map(|(server, requests, daemon)| Step::Crash { server, requests, daemon }),
         3 => (0..REQUESTS, 0..SERVERS, any::<bool>())
-            .prop_map(|(request, server, may_share)| Step::Tries { request, server, may_share }),
-        1 => (0..REQUESTS).prop_map(|request| Step::Answered { request }),
-        3 => (1..5_000_u64).prop_map(|ms| Step::Passes { ms }),
-        1 => (500_000..2_000_000_u64).prop_map(|ms| Step::Passes { ms }),
+            .prop_map(|(request, server, may_share)| Step::Trial { request, server, may_share }),
+        1 => (0..REQUESTS).prop_map(|request| Step::Response { request }),
+        3 => (1..5_000_u64).prop_map(|ms| Step::Wait { ms }),
+        1 => (500_000..2_000_000_u64).prop_map(|ms| Step::Wait { ms }),
     ]
 }
 
@@ -39,32 +39,32 @@
     Fingerprint::of(&RequestIdentity { tenant: None, method: "POST", host: "h", path: "/", body: &body })
 }
 
-/// A voter and a follower that take the same steps.
+/// A voter and a non-voter that apply the same steps.
 #[derive(Default)]
-struct World {
+struct Harness {
     voter: State,
-    follower: State,
+    non_voter: State,
     now_ms: u64,
     steps: u64,
-    /// Reports that named each request since it was last answered.
-    ends: BTreeMap<u8, usize>,
+    /// Number of crash reports that listed each request since its last complete response.
+    reports: BTreeMap<u8, usize>,
 }
 
-impl World {
+impl Harness {
     fn apply(&mut self, command: GatewayCommand) {
         let command = Command { at_ms: self.now_ms, body: CommandBody::Gateway(command) };
         self.voter.apply(&command);
-        if let Some(told) = command.for_followers(&self.voter.tables) {
-            self.follower.apply(&told);
+        if let Some(sent) = command.for_followers(&self.voter.tables) {
+            self.non_voter.apply(&sent);
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn run(&mut self, step: Step) {
         self.steps += 1;
         let at_ms = self.now_ms;
         match step {
-            Step::Ended { server, requests, daemon } => {
-                requests.iter().for_each(|request| *self.ends.entry(*request).or_default() += 1);
+            Step::Crash { server, requests, daemon } => {
+                requests.iter().for_each(|request| *self.reports.entry(*request).or_default() += 1);
                 let number = self.steps;
                 let tries = requests.iter().map(|request| SuspectTry {
                     fingerprint: fingerprint(*request),
@@ -76,20 +76,24 @@
                 let (daemon, tries) = (format!("d-{daemon}"), tries.collect());
                 self.apply(GatewayCommand::ServerEnded(ServerEnd { instance, zone, at_ms, daemon, tries }));
             }
-            Step::Tries { request, server, may_share } => {
+            Step::Trial { request, server, may_share } => {
                 let (fingerprint, trial) = (fingerprint(request), self.steps);
                 let instance = format!("s-{server}");
-                let asked = TrialRequest { fingerprint, trial, instance, may_share, at_ms };
-                self.apply(GatewayCommand::BeginTrial(asked));
+                let trial_request = TrialRequest { fingerprint, trial, instance, may_share, at_ms };
+                self.apply(GatewayCommand::BeginTrial(trial_request));
             }
-            Step::Answered { request } => {
-                self.ends.remove(&request);
+            Step::Response { request } => {
+                self.reports.remove(&request);
                 let (fingerprint, reason) = (fingerprint(request), String::new());
                 self.apply(GatewayCommand::ClearRequest { fingerprint, reason });
-                let standing = self.voter.tables.gateway.suspicion.standing(fingerprint, at_ms);
-                assert_eq!(standing, Standing::Unsuspected, "an answer clears at once");
+                let status = self.voter.tables.gateway.suspicion.standing(fingerprint, at_ms);
+                assert_eq!(
+                    status,
+                    Standing::Unsuspected,
+                    "a complete response clears the request immediately"
+                );
             }
-            Step::Passes { ms } => {
+            Step::Wait { ms } => {
                 self.now_ms += ms;
                 self.apply(GatewayCommand::ExpireSuspicions { at_ms: self.now_ms });
             }
@@ -98,30 +102,30 @@
 
     fn check(&self) {
         let voter = &self.voter.tables.gateway.suspicion;
-        let follower = &self.follower.tables.gateway.suspicion;
-        assert_eq!(voter.crashes, follower.crashes);
-        assert_eq!(voter.quarantined, follower.quarantined);
+        let non_voter = &self.non_voter.tables.gateway.suspicion;
+        assert_eq!(voter.crashes, non_voter.crashes);
+        assert_eq!(voter.quarantined, non_voter.quarantined);
         for request in 0..REQUESTS {
             let fingerprint = fingerprint(request);
-            let standing = voter.standing(fingerprint, self.now_ms);
-            assert_eq!(standing, follower.standing(fingerprint, self.now_ms));
-            let ends = self.ends.get(&request).copied().unwrap_or(0);
-            if standing == Standing::Quarantined {
-                assert!(ends >= LEAST_CRASHES, "request {request} was at {ends} ends only");
+            let status = voter.standing(fingerprint, self.now_ms);
+            assert_eq!(status, non_voter.standing(fingerprint, self.now_ms));
+            let reports = self.reports.get(&request).copied().unwrap_or(0);
+            if status == Standing::Quarantined {
+                assert!(reports >= MIN_CRASHES, "request {request} was listed in only {reports} reports");
             }
         }
-        let read = State::decode(&self.voter.encode()).unwrap_or_else(|error| panic!("{error}"));
-        assert_eq!(&read.tables.gateway.suspicion, voter, "what is stored is all there is");
+        let decoded = State::decode(&self.voter.encode()).unwrap_or_else(|error| panic!("{error}"));
+        assert_eq!(&decoded.tables.gateway.suspicion, voter, "decoding restores the whole table");
     }
 }
 
 proptest! {
     #[test]
-    fn daemons_agree_answers_clear_and_few_ends_condemn_nothing(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::default();
+    fn voters_and_non_voters_agree_and_few_crashes_quarantine_nothing(steps in prop::collection::vec(step(), 1..120)) {
+        let mut harness = Harness::default();
         for step in steps {
-            world.take(step);
-            world.check();
+            harness.run(step);
+            harness.check();
         }
     }
 }
