--- a/crates/control/src/catch_up.rs
+++ b/crates/control/src/catch_up.rs
@@ -108,7 +108,7 @@
     pub fn recent(&mut self, board: &Blackboard) -> &[u8] {
         let oldest = board.commands().cheap_after();
         let recent = self.held.take().filter(|(encoded, _)| *encoded >= oldest);
-        let encode = || (board.revision(), compress(&board.state.encode_for_followers()));
+        let encode = || (board.revision(), compress(&board.state.encode_for_non_voters()));
         &self.held.insert(recent.unwrap_or_else(encode)).1
     }
 }
--- a/crates/control/tests/catch_up.rs
+++ b/crates/control/tests/catch_up.rs
@@ -221,7 +221,7 @@
         leader.pass(TICK_MS);
         followers.take(&mut leader);
     }
-    let copy = leader.node.state().encode_for_followers().len();
+    let copy = leader.node.state().encode_for_non_voters().len();
     assert!(followers.sent < copy * 60, "the leader itself has sent {} copies", followers.sent / copy);
     for (named_at, source) in &followers.named {
         let soon = |(at, other): &&(u64, SocketAddr)| other == source && at.abs_diff(*named_at) < 200;
--- a/crates/control/tests/compression.rs
+++ b/crates/control/tests/compression.rs
@@ -33,7 +33,7 @@
     for number in 0..327 {
         state.apply(&join(&format!("edge-sanjose-{number}.entry")));
     }
-    let encoded = state.encode_for_followers();
+    let encoded = state.encode_for_non_voters();
     let compressed = compress(&encoded);
     assert!(compressed.len() * 3 <= encoded.len(), "{} of {} bytes", compressed.len(), encoded.len());
     assert_eq!(decompress(&compressed), Ok(encoded));
@@ -70,7 +70,7 @@
     let mut daemon: ControlNode<()> = ControlNode::follower("follower");
     let mut state = State::default();
     state.apply(&join("a"));
-    let copy = compress(&state.encode_for_followers());
+    let copy = compress(&state.encode_for_non_voters());
     let damaged = LeaseContent::Snapshot(copy[..copy.len() - 2].to_vec());
     assert_eq!(give(&mut daemon, damaged), [ResultCode::FormatUnknown]);
     assert_eq!(daemon.tables().revision, 0);
--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -70,7 +70,7 @@
 
     /// Encodes the state for daemons that are not voters: without claims, and with only the part of the gateway's tables
     /// that routing needs.
-    pub fn encode_for_followers(&self) -> Vec<u8> {
+    pub fn encode_for_non_voters(&self) -> Vec<u8> {
         let tables = Tables { gateway: self.tables.gateway.for_non_voters(), ..self.tables.clone() };
         let state = State { tables, changes: self.changes.clone(), ..State::default() };
         state.encode()
--- a/crates/state/tests/gateway.rs
+++ b/crates/state/tests/gateway.rs
@@ -35,7 +35,7 @@
 fn non_voters_receive_the_configuration_without_the_operators_document() {
     let mut state = State::default();
     configure(&mut state, 5, b"five");
-    let copy = State::decode(&state.encode_for_followers()).map(|copy| current_configuration(&copy));
+    let copy = State::decode(&state.encode_for_non_voters()).map(|copy| current_configuration(&copy));
     assert_eq!(copy, Ok(Some((5, Vec::new()))));
     assert_eq!(State::decode(&state.encode()), Ok(state));
 }
@@ -177,7 +177,7 @@
     let ids: Vec<&String> = non_voter.tables.gateway.instances.keys().collect();
     assert_eq!(ids, ["plain"]);
     assert_eq!(sent.len(), 2, "{sent:?}");
-    let copy = State::decode(&leader.encode_for_followers()).expect("the encoded state is readable");
+    let copy = State::decode(&leader.encode_for_non_voters()).expect("the encoded state is readable");
     assert_eq!(serving(&copy), [(1, GroupPhase::Open)]);
     assert_eq!(copy.tables.gateway.instances, non_voter.tables.gateway.instances);
 
@@ -217,7 +217,8 @@
     assert!(matches!(evacuate(&mut state, true, 0), Outcome::Refused(_)));
     assert!(!state.tables.gateway.is_evacuated("z"));
     assert_eq!(evacuate(&mut state, true, 2), Outcome::Applied);
-    let copy = State::decode(&state.encode_for_followers()).map(|copy| copy.tables.gateway.is_evacuated("z"));
+    let copy =
+        State::decode(&state.encode_for_non_voters()).map(|copy| copy.tables.gateway.is_evacuated("z"));
     assert_eq!(copy, Ok(true), "non-voters receive the evacuation");
 }
 
@@ -258,7 +259,7 @@
         "the instance is not the head"
     );
     assert_eq!(apply_and_send(&mut leader, report("head", 1, true)), (Some(true), Some(true)));
-    let copy = State::decode(&leader.encode_for_followers()).expect("the encoded state is readable");
+    let copy = State::decode(&leader.encode_for_non_voters()).expect("the encoded state is readable");
     assert!(copy.tables.gateway.groups[&1].head_is_cold);
 }
 
@@ -313,7 +314,7 @@
 #[test]
 fn servers_of_a_zone_are_presumed_cold_after_its_evacuation() {
     let mut state = services_with_and_without_cold_starts();
-    let mut non_voter = State::decode(&state.encode_for_followers()).expect("the encoded state is readable");
+    let mut non_voter = State::decode(&state.encode_for_non_voters()).expect("the encoded state is readable");
     let is_cold = |state: &State, id: &str| state.tables.gateway.instances.get(id).map(|row| row.is_cold);
     let heads = |state: &State| -> Vec<bool> {
         state.tables.gateway.groups.values().map(|group| group.head_is_cold).collect()
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -388,7 +388,7 @@
     }
     let mut state = State::default();
     state.tables.gateway = harness.tables;
-    for bytes in [state.encode(), state.encode_for_followers()] {
+    for bytes in [state.encode(), state.encode_for_non_voters()] {
         let decoded = State::decode(&bytes).unwrap_or_else(|error| panic!("{error}"));
         let suspicion = &decoded.tables.gateway.suspicion;
         assert_eq!(suspicion.standing(fingerprint("fatal"), harness.now_ms), Standing::Quarantined);
