--- a/crates/control/src/blackboard.rs
+++ b/crates/control/src/blackboard.rs
@@ -48,7 +48,7 @@
     pub fn apply(&mut self, command: &Command) -> Applied {
         let applied = self.state.apply(command);
         if command.body.is_configuration()
-            && let Some(needed) = command.for_followers(&self.state.tables)
+            && let Some(needed) = command.for_non_voters(&self.state.tables)
         {
             self.commands.push(self.revision(), compress(&encode_command(&needed)));
         }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -152,7 +152,7 @@
     /// The form in which a command that was just applied to `tables` is sent to daemons that are not voters; `None` if
     /// it changes nothing for them. They only route requests, so they need no rows of model engines, and groups only
     /// once these serve.
-    pub fn for_followers(&self, tables: &Tables) -> Option<Command> {
+    pub fn for_non_voters(&self, tables: &Tables) -> Option<Command> {
         let body = match &self.body {
             CommandBody::Gateway(command) => CommandBody::Gateway(command.for_non_voters(&tables.gateway)?),
             other => other.clone(),
--- a/crates/state/tests/gateway.rs
+++ b/crates/state/tests/gateway.rs
@@ -151,7 +151,7 @@
     let mut apply_and_send = |leader: &mut State, command: GatewayCommand| {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         leader.apply(&command);
-        sent.extend(command.for_followers(&leader.tables));
+        sent.extend(command.for_non_voters(&leader.tables));
     };
     for (id, port) in [("a", 1), ("b", 2), ("c", 3)] {
         apply_and_send(&mut leader, GatewayCommand::Register(row(id, port)));
@@ -184,7 +184,7 @@
     let mut apply_and_send = |leader: &mut State, command: GatewayCommand| {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         leader.apply(&command);
-        sent.extend(command.for_followers(&leader.tables));
+        sent.extend(command.for_non_voters(&leader.tables));
     };
     apply_and_send(&mut leader, phase(1, GroupPhase::Draining));
     apply_and_send(&mut leader, phase(2, GroupPhase::Cutting));
@@ -230,7 +230,7 @@
     let mut apply_and_send = |leader: &mut State, command: GatewayCommand| {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         leader.apply(&command);
-        sent.extend(command.for_followers(&leader.tables));
+        sent.extend(command.for_non_voters(&leader.tables));
         let non_voter = non_voter_state(leader, &sent);
         let is_cold = |state: &State| state.tables.gateway.groups.get(&1).map(|group| group.head_is_cold);
         (is_cold(leader), is_cold(&non_voter))
@@ -329,7 +329,7 @@
         let body = CommandBody::Gateway(GatewayCommand::SetEvacuation { zone, evacuated, generation });
         let command = Command { at_ms: 1, body };
         state.apply(&command);
-        let sent = command.for_followers(&state.tables).expect("the command is sent to non-voters");
+        let sent = command.for_non_voters(&state.tables).expect("the command is sent to non-voters");
         non_voter.apply(&sent);
     }
     let cold = |state: &State| ["head", "plain", "even", "elsewhere"].map(|id| is_cold(state, id));
--- a/crates/state/tests/restarts.rs
+++ b/crates/state/tests/restarts.rs
@@ -48,7 +48,7 @@
     let restarted = GatewayCommand::Register(member(20));
     let command = Command { at_ms: 1, body: CommandBody::Gateway(restarted) };
     state.apply(&command);
-    let sent = command.for_followers(&state.tables).map(|command| command.body);
+    let sent = command.for_non_voters(&state.tables).map(|command| command.body);
     let is_cutting = |body: &CommandBody| {
         matches!(
             body,
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -332,7 +332,7 @@
     for command in std::mem::take(&mut harness.commands) {
         let command = Command { at_ms: 1, body: CommandBody::Gateway(command) };
         voter.apply(&command);
-        if let Some(sent) = command.for_followers(&voter.tables) {
+        if let Some(sent) = command.for_non_voters(&voter.tables) {
             non_voter.apply(&sent);
         }
     }
--- a/crates/state/tests/suspicion_properties.rs
+++ b/crates/state/tests/suspicion_properties.rs
@@ -54,7 +54,7 @@
     fn apply(&mut self, command: GatewayCommand) {
         let command = Command { at_ms: self.now_ms, body: CommandBody::Gateway(command) };
         self.voter.apply(&command);
-        if let Some(sent) = command.for_followers(&self.voter.tables) {
+        if let Some(sent) = command.for_non_voters(&self.voter.tables) {
             self.non_voter.apply(&sent);
         }
     }
