--- a/crates/daemon/src/gateway/receive.rs
+++ b/crates/daemon/src/gateway/receive.rs
@@ -14,7 +14,7 @@
 use dockwood_api::gateway::{Fingerprint, RequestIdentity, Route, RouteKind};
 use dockwood_routing::Millis;
 use dockwood_routing::gateway::{AllowedRegions, AllowedZones, Destination, KeyVerdict, RouteTable};
-use dockwood_state::SuspectTry;
+use dockwood_state::SuspectAttempt;
 use hyper::body::Incoming;
 use hyper::header::{AUTHORIZATION, HOST, HeaderMap};
 use hyper::{Method, Request, Response, Uri};
@@ -91,7 +91,7 @@
 
     /// What decides whether it may be sent to a server.
     pub fn suspect_gate(&self, shared: &Arc<Shared>) -> SuspectGate {
-        let tried = SuspectTry {
+        let tried = SuspectAttempt {
             fingerprint: self.fingerprint,
             request: self.attempt.clone().unwrap_or_default(),
             tenant: self.tenant.clone(),
--- a/crates/daemon/src/http/service.rs
+++ b/crates/daemon/src/http/service.rs
@@ -13,7 +13,7 @@
 use dockwood_api::caller::HEADER_REQUEST_ID;
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_api::{ApiError, ResultCode};
-use dockwood_state::SuspectTry;
+use dockwood_state::SuspectAttempt;
 use futures::stream;
 use poem::http::{HeaderMap, Method, header};
 use poem::web::Data;
@@ -79,12 +79,12 @@
     id: &str,
     service: &str,
     body: &ServiceBody,
-) -> Option<SuspectTry> {
+) -> Option<SuspectAttempt> {
     let ServiceBody::Whole(body) = body else { return None };
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
     let method = request.method().as_str();
     let identity = RequestIdentity { tenant: Some(tenant), method, host: "", path, body };
-    Some(SuspectTry {
+    Some(SuspectAttempt {
         fingerprint: Fingerprint::of(&identity),
         request: id.to_string(),
         tenant: Some(tenant.to_string()),
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -11,7 +11,7 @@
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::Fingerprint;
 use dockwood_routing::gateway::AllowedZones;
-use dockwood_state::{CommandBody, GatewayCommand, Standing, SuspectTry};
+use dockwood_state::{CommandBody, GatewayCommand, Standing, SuspectAttempt};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
 /// One request's gate.
 pub struct SuspectGate {
     shared: Arc<Shared>,
-    tried: SuspectTry,
+    tried: SuspectAttempt,
     deadline: Instant,
     trial: Option<Trial>,
     at: Option<At>,
@@ -62,7 +62,7 @@
 
 impl SuspectGate {
     /// The gate of a try of a request, whose caller waits until `deadline`.
-    pub fn new(shared: &Arc<Shared>, tried: SuspectTry, deadline: Instant) -> SuspectGate {
+    pub fn new(shared: &Arc<Shared>, tried: SuspectAttempt, deadline: Instant) -> SuspectGate {
         let shared = shared.clone();
         SuspectGate { shared, tried, deadline, trial: None, at: None, may_share: false, waits_since: None }
     }
--- a/crates/daemon/src/suspects/reporting.rs
+++ b/crates/daemon/src/suspects/reporting.rs
@@ -5,7 +5,7 @@
 use crate::peer::submit;
 use crate::shared::Shared;
 use dockwood_api::gateway::Fingerprint;
-use dockwood_state::{CommandBody, GatewayCommand, ServerEnd, SuspectTry};
+use dockwood_state::{CommandBody, GatewayCommand, ServerEnd, SuspectAttempt};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// Its zone.
     pub zone: String,
     /// The try.
-    pub tried: SuspectTry,
+    pub tried: SuspectAttempt,
 }
 
 #[derive(Debug, Default)]
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -9,7 +9,7 @@
 use crate::traffic::slots::HeldSlot;
 use dockwood_api::ResultCode;
 use dockwood_routing::pushback::Hold;
-use dockwood_state::{SuspectTry, Tables};
+use dockwood_state::{SuspectAttempt, Tables};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -19,7 +19,7 @@
 
 /// The gate of a request.
 pub(super) fn gate_of(traffic: &Traffic, job: &ChatJob) -> SuspectGate {
-    let tried = SuspectTry {
+    let tried = SuspectAttempt {
         fingerprint: job.fingerprint,
         request: job.id.clone(),
         tenant: Some(job.tenant.clone()),
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -14,7 +14,7 @@
 use dockwood_api::peer::RequestRecord;
 use dockwood_api::resource::{ServiceServer, ServiceSpec};
 use dockwood_routing::{BackendPicker, CallResult};
-use dockwood_state::SuspectTry;
+use dockwood_state::SuspectAttempt;
 use rand::RngExt;
 use reqwest::header::HeaderMap;
 use reqwest::{Method, StatusCode};
@@ -53,7 +53,7 @@
     /// Whether it may be run more than once.
     pub repeatable: bool,
     /// What it is recognised by when it comes again; absent where its body is not held whole.
-    pub tried: Option<SuspectTry>,
+    pub tried: Option<SuspectAttempt>,
     /// Under which its sendings are noted, if the caller named an id and may send it again.
     pub record_key: Option<String>,
 }
--- a/crates/grouping/tests/dispatch.rs
+++ b/crates/grouping/tests/dispatch.rs
@@ -5,7 +5,7 @@
 use common::{LARGE, SERVICE, World};
 use dockwood_api::gateway::{Fingerprint, LimitedGroup, PlaceReply, PlaceRequest, RequestIdentity};
 use dockwood_grouping::Dispatcher;
-use dockwood_state::{GatewayCommand, ServerEnd, SuspectTry, TrialRequest};
+use dockwood_state::{GatewayCommand, ServerEnd, SuspectAttempt, TrialRequest};
 
 /// Eight slots, and one that waits.
 const PLACES: u32 = 9;
@@ -158,7 +158,7 @@
     let fingerprint = Fingerprint::of(&identity);
     for (instance, at_ms) in [("a", 0), ("b", 5_000)] {
         let request = format!("try at {instance}");
-        let tried = SuspectTry { fingerprint, request, tenant: None, route: String::new() };
+        let tried = SuspectAttempt { fingerprint, request, tenant: None, route: String::new() };
         let (instance, zone, daemon) = (instance.to_string(), "z".to_string(), "entry".to_string());
         world.apply(GatewayCommand::ServerEnded(ServerEnd {
             instance,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -27,7 +27,8 @@
 };
 pub use machine::{Applied, ControlVoter, State};
 pub use suspicion::{
-    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectTry, SuspicionTable, TrialRequest,
+    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectAttempt, SuspicionTable,
+    TrialRequest,
 };
 pub use tables::{
     DaemonRow, Holder, Liveness, MachineRow, OrderRow, OrderState, PoolRow, ReplicaPhase, ReplicaRow, Tables,
--- a/crates/state/src/suspicion/mod.rs
+++ b/crates/state/src/suspicion/mod.rs
@@ -11,5 +11,7 @@
 mod rows;
 mod table;
 
-pub use rows::{CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectTry, TrialRequest};
+pub use rows::{
+    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectAttempt, TrialRequest,
+};
 pub use table::SuspicionTable;
--- a/crates/state/src/suspicion/rows.rs
+++ b/crates/state/src/suspicion/rows.rs
@@ -6,7 +6,7 @@
 
 /// An attempt of a request that a server was running when its process ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectTry {
+pub struct SuspectAttempt {
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// The caller's request id for this attempt; empty if it sent none.
@@ -29,7 +29,7 @@
     /// The reporting daemon.
     pub daemon: String,
     /// Attempts that the daemon had in flight on the server.
-    pub tries: Vec<SuspectTry>,
+    pub tries: Vec<SuspectAttempt>,
 }
 
 /// The crash of a server process, aggregated from the reports of all daemons, for as long as no request is known to have
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// The attempt on that server.
-    pub tried: SuspectTry,
+    pub tried: SuspectAttempt,
     /// The daemon that reported it.
     pub daemon: String,
 }
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -1,7 +1,7 @@
 //! The suspicion table, and the rules by which requests are quarantined and released.
 
 use super::rows::{
-    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectTry, TrialRequest, TrialRow,
+    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectAttempt, TrialRequest, TrialRow,
 };
 use crate::machine::Applied;
 use dockwood_api::ResultCode;
@@ -116,7 +116,7 @@
         for tried in &report.tries {
             self.trials.remove(&tried.fingerprint);
         }
-        let (quarantined, others): (Vec<&SuspectTry>, Vec<&SuspectTry>) =
+        let (quarantined, others): (Vec<&SuspectAttempt>, Vec<&SuspectAttempt>) =
             report.tries.iter().partition(|tried| self.quarantined.contains_key(&tried.fingerprint));
         // A crash under a request that is known to crash servers needs no other cause.
         if quarantined.is_empty() {
@@ -129,7 +129,7 @@
     }
 
     /// Adds the attempts of a report as suspects to the row of the crash, creating it for the first report.
-    fn record_crash(&mut self, report: &ServerEnd, tries: &[&SuspectTry]) {
+    fn record_crash(&mut self, report: &ServerEnd, tries: &[&SuspectAttempt]) {
         let mut row = match self.crashes.values().rev().find(|row| is_same_crash(row, report)) {
             Some(row) => CrashRow::clone(row),
             None => {
@@ -154,7 +154,7 @@
     }
 
     /// Quarantines a suspect if enough crashes are attributed to it.
-    fn quarantine_if_attributed(&mut self, tried: &SuspectTry, at_ms: u64) {
+    fn quarantine_if_attributed(&mut self, tried: &SuspectAttempt, at_ms: u64) {
         let fingerprint = tried.fingerprint;
         let attributed = self.crashes_against(fingerprint);
         let zones: BTreeSet<&str> = attributed.iter().map(|row| row.zone.as_str()).collect();
@@ -187,7 +187,7 @@
 
     /// Records a crash under a request that is quarantined or on probation. During the quarantine it is only added to the
     /// evidence, as the attempt was already in flight; during the probation it starts another quarantine.
-    fn record_reoffence(&mut self, report: &ServerEnd, tried: &SuspectTry) {
+    fn record_reoffence(&mut self, report: &ServerEnd, tried: &SuspectAttempt) {
         let Some(current) = self.quarantined.get(&tried.fingerprint) else { return };
         let mut row = QuarantineRow::clone(current);
         if !row.holds(report.at_ms) {
@@ -337,7 +337,7 @@
 /// request that it was running before belongs to another crash, as a suspect is tried on one server at a time.
 fn is_same_crash(row: &CrashRow, report: &ServerEnd) -> bool {
     let apart_ms = row.at_ms.abs_diff(report.at_ms);
-    let is_new_attempt = |tried: &SuspectTry| {
+    let is_new_attempt = |tried: &SuspectAttempt| {
         row.suspect(tried.fingerprint).is_some_and(|suspect| suspect.tried.request != tried.request)
     };
     let has_restarted = apart_ms >= MIN_RESTART_MS && report.tries.iter().any(is_new_attempt);
--- a/crates/state/tests/attribution.rs
+++ b/crates/state/tests/attribution.rs
@@ -3,7 +3,9 @@
 //! `--nocapture` for the figures.
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
-use dockwood_state::{GatewayCommand, GatewayTables, Outcome, ServerEnd, Standing, SuspectTry, TrialRequest};
+use dockwood_state::{
+    GatewayCommand, GatewayTables, Outcome, ServerEnd, Standing, SuspectAttempt, TrialRequest,
+};
 use std::collections::BTreeSet;
 
 const STEP_MS: u64 = 10;
@@ -180,7 +182,7 @@
         self.servers[server].down_until_ms = self.now_ms + RESTART_MS;
         let aborted = std::mem::take(&mut self.servers[server].running);
         let (instance, zone) = (server.to_string(), ZONES[server % ZONES.len()].to_string());
-        let tries = aborted.iter().map(|attempt| SuspectTry {
+        let tries = aborted.iter().map(|attempt| SuspectAttempt {
             fingerprint: attempt.fingerprint,
             request: attempt.id.clone(),
             tenant: None,
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -4,7 +4,7 @@
 use dockwood_api::gateway::{Fingerprint, InstanceState, RequestIdentity};
 use dockwood_state::{
     Command, CommandBody, GatewayCommand, GatewayTables, InstanceRow, Outcome, ServerEnd, Standing, State,
-    SuspectTry, TrialRequest,
+    SuspectAttempt, TrialRequest,
 };
 
 const MINUTE_MS: u64 = 60_000;
@@ -60,7 +60,7 @@
     }
 
     fn report_crash(&mut self, daemon: &str, instance: &str, zone: &str, requests: &[&str]) {
-        let attempt = |name: &&str| SuspectTry {
+        let attempt = |name: &&str| SuspectAttempt {
             fingerprint: fingerprint(name),
             request: format!("try-{name}"),
             tenant: Some("tenant".to_string()),
@@ -156,7 +156,7 @@
 fn a_new_attempt_that_crashes_the_same_instance_shortly_after_counts_as_another_crash() {
     let mut harness = Harness::default();
     for number in 0..CRASHES_IN_ONE_ZONE {
-        let attempt = SuspectTry {
+        let attempt = SuspectAttempt {
             fingerprint: fingerprint("fatal"),
             request: format!("try-{number}"),
             tenant: None,
--- a/crates/state/tests/suspicion_properties.rs
+++ b/crates/state/tests/suspicion_properties.rs
@@ -2,7 +2,7 @@
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_state::{
-    Command, CommandBody, GatewayCommand, ServerEnd, Standing, State, SuspectTry, TrialRequest,
+    Command, CommandBody, GatewayCommand, ServerEnd, Standing, State, SuspectAttempt, TrialRequest,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
             Step::Crash { server, requests, daemon } => {
                 requests.iter().for_each(|request| *self.reports.entry(*request).or_default() += 1);
                 let number = self.steps;
-                let tries = requests.iter().map(|request| SuspectTry {
+                let tries = requests.iter().map(|request| SuspectAttempt {
                     fingerprint: fingerprint(*request),
                     request: format!("try-{number}"),
                     tenant: None,
