--- a/crates/control/src/account.rs
+++ b/crates/control/src/account.rs
@@ -6,8 +6,8 @@
 use dockwood_api::gateway::InstanceState;
 use dockwood_api::resource::{Kind, ResourceKey};
 use dockwood_state::{
-    Applied, ChangeAction, ChangeRequest, Command, CommandBody, DaemonUpdate, Evidence, GatewayCommand,
-    Outcome, QuarantineRow, ReplicaPhase, ServerEnd, Tables,
+    Applied, ChangeAction, ChangeRequest, Command, CommandBody, CrashReport, DaemonUpdate, Evidence,
+    GatewayCommand, Outcome, QuarantineRow, ReplicaPhase, Tables,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -180,14 +180,14 @@
 }
 
 /// The requests that a server had when it ended.
-fn told(end: &ServerEnd) -> String {
+fn told(end: &CrashReport) -> String {
     let tries: Vec<String> =
         end.tries.iter().map(|tried| format!("{} as {}", tried.fingerprint, tried.request)).collect();
     format!("in zone {}, told by {}; suspects: {}", end.zone, end.daemon, tries.join(", "))
 }
 
 /// Requests that came under quarantine by the end of a server.
-fn quarantines(end: &ServerEnd, tables: &Tables) -> Vec<Account> {
+fn quarantines(end: &CrashReport, tables: &Tables) -> Vec<Account> {
     let held =
         end.tries.iter().filter_map(|tried| tables.gateway.suspicion.quarantined.get(&tried.fingerprint));
     let new = held.filter(|row| row.since_ms == end.at_ms);
--- a/crates/daemon/src/suspects/reporting.rs
+++ b/crates/daemon/src/suspects/reporting.rs
@@ -5,7 +5,7 @@
 use crate::peer::submit;
 use crate::shared::Shared;
 use dockwood_api::gateway::Fingerprint;
-use dockwood_state::{CommandBody, GatewayCommand, ServerEnd, SuspectAttempt};
+use dockwood_state::{CommandBody, CrashReport, GatewayCommand, SuspectAttempt};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -83,12 +83,12 @@
     }
 
     /// What is to be told, by server.
-    fn take(&self, daemon: &str) -> Vec<ServerEnd> {
+    fn take(&self, daemon: &str) -> Vec<CrashReport> {
         let tries = std::mem::take(&mut lock(&self.waiting).tries);
         let at_ms = wall_ms();
-        let mut ends: BTreeMap<String, ServerEnd> = BTreeMap::new();
+        let mut ends: BTreeMap<String, CrashReport> = BTreeMap::new();
         for EndedTry { instance, zone, tried } in tries {
-            let end = ends.entry(instance.clone()).or_insert_with(|| ServerEnd {
+            let end = ends.entry(instance.clone()).or_insert_with(|| CrashReport {
                 instance,
                 zone,
                 at_ms,
@@ -100,7 +100,7 @@
         ends.into_values().collect()
     }
 
-    fn settle(&self, end: &ServerEnd) {
+    fn settle(&self, end: &CrashReport) {
         let mut waiting = lock(&self.waiting);
         for tried in &end.tries {
             if let Some(count) = waiting.unknown.get_mut(&tried.fingerprint) {
@@ -128,7 +128,7 @@
 
 /// Repeats one report until it is in the log, and waits until this entry knows it from there. A repetition carries the
 /// time of the end, so that it counts as the same one.
-async fn report(shared: Arc<Shared>, end: ServerEnd) {
+async fn report(shared: Arc<Shared>, end: CrashReport) {
     let begun = Instant::now();
     while begun.elapsed() < GIVE_UP_AFTER {
         let command = CommandBody::Gateway(GatewayCommand::ServerEnded(end.clone()));
--- a/crates/grouping/tests/dispatch.rs
+++ b/crates/grouping/tests/dispatch.rs
@@ -5,7 +5,7 @@
 use common::{LARGE, SERVICE, World};
 use dockwood_api::gateway::{Fingerprint, LimitedGroup, PlaceReply, PlaceRequest, RequestIdentity};
 use dockwood_grouping::Dispatcher;
-use dockwood_state::{GatewayCommand, ServerEnd, SuspectAttempt, TrialRequest};
+use dockwood_state::{CrashReport, GatewayCommand, SuspectAttempt, TrialRequest};
 
 /// Eight slots, and one that waits.
 const PLACES: u32 = 9;
@@ -160,7 +160,7 @@
         let request = format!("try at {instance}");
         let tried = SuspectAttempt { fingerprint, request, tenant: None, route: String::new() };
         let (instance, zone, daemon) = (instance.to_string(), "z".to_string(), "entry".to_string());
-        world.apply(GatewayCommand::ServerEnded(ServerEnd {
+        world.apply(GatewayCommand::ServerEnded(CrashReport {
             instance,
             zone,
             at_ms,
--- a/crates/state/src/gateway/command.rs
+++ b/crates/state/src/gateway/command.rs
@@ -2,7 +2,7 @@
 
 use super::GatewayTables;
 use super::rows::{GroupPhase, GroupPurpose, GroupRow, InstanceRow};
-use crate::suspicion::{ServerEnd, TrialRequest};
+use crate::suspicion::{CrashReport, TrialRequest};
 use dockwood_api::gateway::{Fingerprint, GatewayConfiguration};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -79,7 +79,7 @@
     /// Inserts a complete group row, on daemons that are not voters: they receive a group only once it serves.
     Adopt(Arc<GroupRow>),
     /// A server process ended while it was running requests.
-    ServerEnded(ServerEnd),
+    ServerEnded(CrashReport),
     /// Requests a trial of a suspect request on a server; refused while another trial of the request is running, or if
     /// the server is running a trial of another suspect.
     BeginTrial(TrialRequest),
--- a/crates/state/src/gateway/mod.rs
+++ b/crates/state/src/gateway/mod.rs
@@ -15,7 +15,7 @@
 pub use rows::{Evacuation, GroupPhase, GroupPurpose, GroupRow, InstanceRow};
 
 use crate::machine::Applied;
-use crate::suspicion::{ServerEnd, SuspicionTable};
+use crate::suspicion::{CrashReport, SuspicionTable};
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{ColdStart, EngineProfile, GatewayConfiguration, InstanceState};
 use imbl::OrdMap;
@@ -162,7 +162,7 @@
         is_draining || self.was_removed(id)
     }
 
-    fn server_ended(&mut self, end: &ServerEnd) -> Applied {
+    fn server_ended(&mut self, end: &CrashReport) -> Applied {
         if self.is_leaving(&end.instance) {
             return Applied::with_changes(Vec::new());
         }
--- a/crates/state/src/suspicion/mod.rs
+++ b/crates/state/src/suspicion/mod.rs
@@ -12,6 +12,6 @@
 mod table;
 
 pub use rows::{
-    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectAttempt, TrialRequest,
+    CrashReport, CrashRow, Evidence, QuarantineRow, Standing, Suspect, SuspectAttempt, TrialRequest,
 };
 pub use table::SuspicionTable;
--- a/crates/state/src/suspicion/rows.rs
+++ b/crates/state/src/suspicion/rows.rs
@@ -19,7 +19,7 @@
 
 /// One daemon's report that a server process ended, with the requests that the daemon had sent to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerEnd {
+pub struct CrashReport {
     /// Instance id of the server.
     pub instance: String,
     /// Zone of the server.
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -1,7 +1,7 @@
 //! The suspicion table, and the rules by which requests are quarantined and released.
 
 use super::rows::{
-    CrashRow, Evidence, QuarantineRow, ServerEnd, Standing, Suspect, SuspectAttempt, TrialRequest, TrialRow,
+    CrashReport, CrashRow, Evidence, QuarantineRow, Standing, Suspect, SuspectAttempt, TrialRequest, TrialRow,
 };
 use crate::machine::Applied;
 use dockwood_api::ResultCode;
@@ -112,7 +112,7 @@
     }
 
     /// Records a daemon's report of a crash, and quarantines the requests to which enough crashes are now attributed.
-    pub(crate) fn server_ended(&mut self, report: &ServerEnd) -> Applied {
+    pub(crate) fn server_ended(&mut self, report: &CrashReport) -> Applied {
         for tried in &report.tries {
             self.trials.remove(&tried.fingerprint);
         }
@@ -129,7 +129,7 @@
     }
 
     /// Adds the attempts of a report as suspects to the row of the crash, creating it for the first report.
-    fn record_crash(&mut self, report: &ServerEnd, tries: &[&SuspectAttempt]) {
+    fn record_crash(&mut self, report: &CrashReport, tries: &[&SuspectAttempt]) {
         let mut row = match self.crashes.values().rev().find(|row| is_same_crash(row, report)) {
             Some(row) => CrashRow::clone(row),
             None => {
@@ -187,7 +187,7 @@
 
     /// Records a crash under a request that is quarantined or on probation. During the quarantine it is only added to the
     /// evidence, as the attempt was already in flight; during the probation it starts another quarantine.
-    fn record_reoffence(&mut self, report: &ServerEnd, tried: &SuspectAttempt) {
+    fn record_reoffence(&mut self, report: &CrashReport, tried: &SuspectAttempt) {
         let Some(current) = self.quarantined.get(&tried.fingerprint) else { return };
         let mut row = QuarantineRow::clone(current);
         if !row.holds(report.at_ms) {
@@ -335,7 +335,7 @@
 
 /// Whether a report refers to a known crash. A server may restart under the same id within a second: a new attempt of a
 /// request that it was running before belongs to another crash, as a suspect is tried on one server at a time.
-fn is_same_crash(row: &CrashRow, report: &ServerEnd) -> bool {
+fn is_same_crash(row: &CrashRow, report: &CrashReport) -> bool {
     let apart_ms = row.at_ms.abs_diff(report.at_ms);
     let is_new_attempt = |tried: &SuspectAttempt| {
         row.suspect(tried.fingerprint).is_some_and(|suspect| suspect.tried.request != tried.request)
--- a/crates/state/tests/attribution.rs
+++ b/crates/state/tests/attribution.rs
@@ -4,7 +4,7 @@
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_state::{
-    GatewayCommand, GatewayTables, Outcome, ServerEnd, Standing, SuspectAttempt, TrialRequest,
+    CrashReport, GatewayCommand, GatewayTables, Outcome, Standing, SuspectAttempt, TrialRequest,
 };
 use std::collections::BTreeSet;
 
@@ -189,7 +189,7 @@
             route: String::new(),
         });
         let (at_ms, daemon) = (self.now_ms, "e".to_string());
-        let report = ServerEnd { instance, zone, at_ms, daemon, tries: tries.collect() };
+        let report = CrashReport { instance, zone, at_ms, daemon, tries: tries.collect() };
         if self.policy != Policy::NoHistory {
             self.tables.apply(&GatewayCommand::ServerEnded(report));
         }
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -3,7 +3,7 @@
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{Fingerprint, InstanceState, RequestIdentity};
 use dockwood_state::{
-    Command, CommandBody, GatewayCommand, GatewayTables, InstanceRow, Outcome, ServerEnd, Standing, State,
+    Command, CommandBody, CrashReport, GatewayCommand, GatewayTables, InstanceRow, Outcome, Standing, State,
     SuspectAttempt, TrialRequest,
 };
 
@@ -68,7 +68,7 @@
         };
         let (instance, zone, daemon) = (instance.to_string(), zone.to_string(), daemon.to_string());
         let tries = requests.iter().map(attempt).collect();
-        self.apply(GatewayCommand::ServerEnded(ServerEnd {
+        self.apply(GatewayCommand::ServerEnded(CrashReport {
             instance,
             zone,
             at_ms: self.now_ms,
@@ -163,7 +163,7 @@
             route: "route".to_string(),
         };
         let (instance, zone, daemon) = ("a".to_string(), "z".to_string(), "entry".to_string());
-        let report = ServerEnd { instance, zone, at_ms: harness.now_ms, daemon, tries: vec![attempt] };
+        let report = CrashReport { instance, zone, at_ms: harness.now_ms, daemon, tries: vec![attempt] };
         // A repetition of the same report refers to the same crash, whenever it arrives.
         harness.apply(GatewayCommand::ServerEnded(report.clone()));
         harness.apply(GatewayCommand::ServerEnded(report));
--- a/crates/state/tests/suspicion_properties.rs
+++ b/crates/state/tests/suspicion_properties.rs
@@ -2,7 +2,7 @@
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_state::{
-    Command, CommandBody, GatewayCommand, ServerEnd, Standing, State, SuspectAttempt, TrialRequest,
+    Command, CommandBody, CrashReport, GatewayCommand, Standing, State, SuspectAttempt, TrialRequest,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -74,7 +74,7 @@
                 });
                 let (instance, zone) = (format!("s-{server}"), format!("z-{}", server % 2));
                 let (daemon, tries) = (format!("d-{daemon}"), tries.collect());
-                self.apply(GatewayCommand::ServerEnded(ServerEnd { instance, zone, at_ms, daemon, tries }));
+                self.apply(GatewayCommand::ServerEnded(CrashReport { instance, zone, at_ms, daemon, tries }));
             }
             Step::Trial { request, server, may_share } => {
                 let (fingerprint, trial) = (fingerprint(request), self.steps);
