--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -8,7 +8,7 @@
 use dockwood_api::gateway::Fingerprint;
 use dockwood_api::{ApiError, ResultCode};
 use dockwood_state::{
-    CommandBody, CrashRow, Evidence, GatewayCommand, QuarantineRow, Standing, SuspicionTable,
+    CommandBody, CrashRow, Evidence, GatewayCommand, QuarantineRow, SuspicionStatus, SuspicionTable,
 };
 use poem::http::StatusCode;
 use poem::web::{Data, Path};
@@ -88,9 +88,9 @@
     let crashes = suspicion.crashes_against(fingerprint);
     let evidence = crashes.iter().filter_map(|row| shown_crash(row, fingerprint)).collect::<Vec<Value>>();
     let standing = match suspicion.standing(fingerprint, now_ms) {
-        Standing::Unsuspected => "unsuspected",
-        Standing::Suspect => "suspect",
-        Standing::Quarantined => "quarantined",
+        SuspicionStatus::Unsuspected => "unsuspected",
+        SuspicionStatus::Suspect => "suspect",
+        SuspicionStatus::Quarantined => "quarantined",
     };
     json!({ "fingerprint": fingerprint.to_string(), "standing": standing, "evidence": evidence })
 }
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -11,7 +11,7 @@
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::Fingerprint;
 use dockwood_routing::gateway::AllowedZones;
-use dockwood_state::{CommandBody, GatewayCommand, Standing, SuspectAttempt};
+use dockwood_state::{CommandBody, GatewayCommand, SuspectAttempt, SuspicionStatus};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -71,26 +71,30 @@
         self.tried.fingerprint
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> SuspicionStatus {
         let tables = self.shared.tables();
         let standing = tables.gateway.suspicion.standing(self.fingerprint(), wall_ms());
         let is_noted = || self.shared.suspects.unreported_ends.concerns(self.fingerprint());
-        if standing == Standing::Unsuspected && is_noted() { Standing::Suspect } else { standing }
+        if standing == SuspicionStatus::Unsuspected && is_noted() {
+            SuspicionStatus::Suspect
+        } else {
+            standing
+        }
     }
 
     /// Whether the request is suspected, once all that this entry knows of it is in the log; `Err` if it is under
     /// quarantine. To be asked before a server is chosen.
     pub async fn is_suspect(&mut self) -> Result<bool, ResultCode> {
         self.trial = None;
-        if self.standing() == Standing::Unsuspected {
+        if self.standing() == SuspicionStatus::Unsuspected {
             return Ok(false);
         }
         let deadline = self.deadline.min(Instant::now() + TURN_LIMIT);
         self.shared.suspects.unreported_ends.known(self.fingerprint(), deadline).await;
         match self.standing() {
-            Standing::Unsuspected => Ok(false),
-            Standing::Suspect => Ok(true),
-            Standing::Quarantined => Err(self.quarantined()),
+            SuspicionStatus::Unsuspected => Ok(false),
+            SuspicionStatus::Suspect => Ok(true),
+            SuspicionStatus::Quarantined => Err(self.quarantined()),
         }
     }
 
@@ -152,9 +156,9 @@
     /// and others may have told of servers that ended under it.
     pub fn may_write(&self) -> bool {
         match self.standing() {
-            Standing::Unsuspected => true,
-            Standing::Suspect => self.trial.as_ref().is_some_and(Trial::may_begin),
-            Standing::Quarantined => false,
+            SuspicionStatus::Unsuspected => true,
+            SuspicionStatus::Suspect => self.trial.as_ref().is_some_and(Trial::may_begin),
+            SuspicionStatus::Quarantined => false,
         }
     }
 
@@ -173,7 +177,7 @@
     /// server may answer one before it begins to run the request.
     pub fn answered(&mut self) {
         let trial = self.trial.take();
-        if trial.is_none() && self.standing() == Standing::Unsuspected {
+        if trial.is_none() && self.standing() == SuspicionStatus::Unsuspected {
             return;
         }
         trial.into_iter().for_each(Trial::settled);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -27,7 +27,7 @@
 };
 pub use machine::{Applied, ControlVoter, State};
 pub use suspicion::{
-    CrashReport, CrashRow, Evidence, QuarantineRow, Standing, Suspect, SuspectAttempt, SuspicionTable,
+    CrashReport, CrashRow, Evidence, QuarantineRow, Suspect, SuspectAttempt, SuspicionStatus, SuspicionTable,
     TrialRequest,
 };
 pub use tables::{
--- a/crates/state/src/suspicion/mod.rs
+++ b/crates/state/src/suspicion/mod.rs
@@ -12,6 +12,6 @@
 mod table;
 
 pub use rows::{
-    CrashReport, CrashRow, Evidence, QuarantineRow, Standing, Suspect, SuspectAttempt, TrialRequest,
+    CrashReport, CrashRow, Evidence, QuarantineRow, Suspect, SuspectAttempt, SuspicionStatus, TrialRequest,
 };
 pub use table::SuspicionTable;
--- a/crates/state/src/suspicion/rows.rs
+++ b/crates/state/src/suspicion/rows.rs
@@ -146,7 +146,7 @@
 
 /// How strongly a request is suspected of crashing servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SuspicionStatus {
     /// No crash is attributed to it.
     Unsuspected,
     /// It is sent to one server at a time, each time after a trial was granted.
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -1,7 +1,8 @@
 //! The suspicion table, and the rules by which requests are quarantined and released.
 
 use super::rows::{
-    CrashReport, CrashRow, Evidence, QuarantineRow, Standing, Suspect, SuspectAttempt, TrialRequest, TrialRow,
+    CrashReport, CrashRow, Evidence, QuarantineRow, Suspect, SuspectAttempt, SuspicionStatus, TrialRequest,
+    TrialRow,
 };
 use crate::machine::Applied;
 use dockwood_api::ResultCode;
@@ -60,12 +61,12 @@
 
 impl SuspicionTable {
     /// How strongly a request is suspected at `at_ms`.
-    pub fn standing(&self, fingerprint: Fingerprint, at_ms: u64) -> Standing {
+    pub fn standing(&self, fingerprint: Fingerprint, at_ms: u64) -> SuspicionStatus {
         match self.quarantined.get(&fingerprint) {
-            Some(row) if row.holds(at_ms) => Standing::Quarantined,
-            Some(_) => Standing::Suspect,
-            None if self.crashes_against(fingerprint).is_empty() => Standing::Unsuspected,
-            None => Standing::Suspect,
+            Some(row) if row.holds(at_ms) => SuspicionStatus::Quarantined,
+            Some(_) => SuspicionStatus::Suspect,
+            None if self.crashes_against(fingerprint).is_empty() => SuspicionStatus::Unsuspected,
+            None => SuspicionStatus::Suspect,
         }
     }
 
@@ -234,7 +235,7 @@
     /// Grants a trial, or refuses it with the reason.
     pub(crate) fn begin_trial(&mut self, request: &TrialRequest) -> Applied {
         let (fingerprint, at_ms) = (request.fingerprint, request.at_ms);
-        if self.standing(fingerprint, at_ms) == Standing::Quarantined {
+        if self.standing(fingerprint, at_ms) == SuspicionStatus::Quarantined {
             let code = ResultCode::RequestQuarantined;
             return Applied::refused(code, code.meaning());
         }
--- a/crates/state/tests/attribution.rs
+++ b/crates/state/tests/attribution.rs
@@ -4,7 +4,7 @@
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_state::{
-    CrashReport, GatewayCommand, GatewayTables, Outcome, Standing, SuspectAttempt, TrialRequest,
+    CrashReport, GatewayCommand, GatewayTables, Outcome, SuspectAttempt, SuspicionStatus, TrialRequest,
 };
 use std::collections::BTreeSet;
 
@@ -105,12 +105,12 @@
         });
     }
 
-    fn status(&self, fingerprint: Fingerprint) -> Standing {
+    fn status(&self, fingerprint: Fingerprint) -> SuspicionStatus {
         if self.policy == Policy::NoHistory {
-            return Standing::Unsuspected;
+            return SuspicionStatus::Unsuspected;
         }
         match self.tables.suspicion.standing(fingerprint, self.now_ms) {
-            Standing::Suspect if self.policy == Policy::CountOnly => Standing::Unsuspected,
+            SuspicionStatus::Suspect if self.policy == Policy::CountOnly => SuspicionStatus::Unsuspected,
             status => status,
         }
     }
@@ -149,15 +149,15 @@
 
     fn send(&mut self, mut attempt: Attempt) {
         let server = match self.status(attempt.fingerprint) {
-            Standing::Quarantined => {
+            SuspicionStatus::Quarantined => {
                 self.costs.quarantined_normal += usize::from(!attempt.is_culprit);
                 return;
             }
-            Standing::Unsuspected => {
+            SuspicionStatus::Unsuspected => {
                 let suspicion = &self.tables.suspicion;
                 self.least_loaded(|server| !suspicion.is_in_danger(&server.to_string()))
             }
-            Standing::Suspect => self.trial_server(&attempt),
+            SuspicionStatus::Suspect => self.trial_server(&attempt),
         };
         let Some(server) = server else {
             let since = *attempt.waiting_since.get_or_insert(self.now_ms);
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -3,8 +3,8 @@
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{Fingerprint, InstanceState, RequestIdentity};
 use dockwood_state::{
-    Command, CommandBody, CrashReport, GatewayCommand, GatewayTables, InstanceRow, Outcome, Standing, State,
-    SuspectAttempt, TrialRequest,
+    Command, CommandBody, CrashReport, GatewayCommand, GatewayTables, InstanceRow, Outcome, State,
+    SuspectAttempt, SuspicionStatus, TrialRequest,
 };
 
 const MINUTE_MS: u64 = 60_000;
@@ -83,7 +83,7 @@
         self.now_ms += CRASH_INTERVAL_MS;
     }
 
-    fn status(&self, name: &str) -> Standing {
+    fn status(&self, name: &str) -> SuspicionStatus {
         self.tables.suspicion.standing(fingerprint(name), self.now_ms)
     }
 
@@ -118,11 +118,15 @@
     let mut harness = Harness::default();
     harness.crash("a", "z", &["fatal", "one"]);
     harness.crash("b", "y", &["fatal", "two"]);
-    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Suspect);
     harness.crash("c", "z", &["fatal", "three"]);
-    assert_eq!(harness.status("fatal"), Standing::Quarantined);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Quarantined);
     for name in ["one", "two", "three"] {
-        assert_eq!(harness.status(name), Standing::Unsuspected, "{name} only shared one server with it");
+        assert_eq!(
+            harness.status(name),
+            SuspicionStatus::Unsuspected,
+            "{name} only shared one server with it"
+        );
     }
     let row = &harness.tables.suspicion.quarantined[&fingerprint("fatal")];
     assert_eq!(row.evidence.len(), 3);
@@ -135,10 +139,10 @@
     let mut harness = Harness::default();
     for (number, instance) in ["a", "b", "c", "d"].into_iter().enumerate() {
         harness.crash(instance, "z", &["moved"]);
-        assert_eq!(harness.status("moved"), Standing::Suspect, "after {} servers", number + 1);
+        assert_eq!(harness.status("moved"), SuspicionStatus::Suspect, "after {} servers", number + 1);
     }
     harness.crash("e", "z", &["moved"]);
-    assert_eq!(harness.status("moved"), Standing::Quarantined);
+    assert_eq!(harness.status("moved"), SuspicionStatus::Quarantined);
 }
 
 #[test]
@@ -148,7 +152,7 @@
         harness.report_crash(daemon, "a", "z", &["fatal"]);
         harness.report_crash(daemon, "b", "y", &["fatal"]);
     }
-    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Suspect);
     assert_eq!(harness.tables.suspicion.crashes_against(fingerprint("fatal")).len(), 2);
 }
 
@@ -169,7 +173,7 @@
         harness.apply(GatewayCommand::ServerEnded(report));
         harness.now_ms += 700;
     }
-    assert_eq!(harness.status("fatal"), Standing::Quarantined);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Quarantined);
 }
 
 /// A server may restart under the same id.
@@ -179,18 +183,18 @@
     for zone in ["z", "y", "z"] {
         harness.crash("a", zone, &["fatal"]);
     }
-    assert_eq!(harness.status("fatal"), Standing::Quarantined);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Quarantined);
 }
 
 #[test]
 fn requests_that_only_shared_a_server_with_a_stronger_suspect_are_not_suspected() {
     let mut harness = Harness::default();
     harness.crash("a", "z", &["fatal", "one"]);
-    assert_eq!(harness.status("one"), Standing::Suspect, "one crash does not distinguish them");
+    assert_eq!(harness.status("one"), SuspicionStatus::Suspect, "one crash does not distinguish them");
     harness.crash("b", "y", &["fatal", "two"]);
-    assert_eq!(harness.status("one"), Standing::Unsuspected);
-    assert_eq!(harness.status("two"), Standing::Unsuspected);
-    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    assert_eq!(harness.status("one"), SuspicionStatus::Unsuspected);
+    assert_eq!(harness.status("two"), SuspicionStatus::Unsuspected);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Suspect);
 }
 
 #[test]
@@ -199,9 +203,13 @@
     harness.crash("a", "z", &["innocent"]);
     harness.crash("b", "y", &["innocent"]);
     harness.clear("innocent");
-    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
+    assert_eq!(harness.status("innocent"), SuspicionStatus::Unsuspected);
     harness.crash("c", "z", &["innocent"]);
-    assert_eq!(harness.status("innocent"), Standing::Suspect, "crashes before the clearance do not count");
+    assert_eq!(
+        harness.status("innocent"),
+        SuspicionStatus::Suspect,
+        "crashes before the clearance do not count"
+    );
 }
 
 #[test]
@@ -266,11 +274,11 @@
     assert_eq!(refusal(harness.begin_trial("fatal", "d", false)), Some(ResultCode::RequestQuarantined));
     let first = harness.tables.suspicion.quarantined[&fingerprint("fatal")].clone();
     harness.now_ms += PROBATION_MS;
-    assert_eq!(harness.status("fatal"), Standing::Suspect);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Suspect);
     assert_eq!(refusal(harness.begin_trial("fatal", "d", false)), None);
     harness.crash("d", "z", &["fatal", "beside"]);
-    assert_eq!(harness.status("fatal"), Standing::Quarantined);
-    assert_eq!(harness.status("beside"), Standing::Unsuspected, "the cause of the crash is known");
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Quarantined);
+    assert_eq!(harness.status("beside"), SuspicionStatus::Unsuspected, "the cause of the crash is known");
     let second = &harness.tables.suspicion.quarantined[&fingerprint("fatal")];
     assert_eq!(second.until_ms - second.since_ms, 2 * (first.until_ms - first.since_ms));
 }
@@ -295,7 +303,7 @@
         harness.crash(instance, zone, &["fatal"]);
     }
     harness.clear("fatal");
-    assert_eq!(harness.status("fatal"), Standing::Unsuspected);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Unsuspected);
     assert!(harness.tables.suspicion.quarantined.is_empty());
 }
 
@@ -305,11 +313,11 @@
     let mut harness = Harness::default();
     harness.register("a", InstanceState::Draining);
     harness.crash("a", "z", &["innocent"]);
-    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
+    assert_eq!(harness.status("innocent"), SuspicionStatus::Unsuspected);
     harness.register("b", InstanceState::Ready);
     harness.apply(GatewayCommand::Remove { id: "b".to_string() });
     harness.crash("b", "z", &["innocent"]);
-    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
+    assert_eq!(harness.status("innocent"), SuspicionStatus::Unsuspected);
 }
 
 /// Non-voters receive single commands or a copy of the state, and reach the same result.
@@ -353,8 +361,8 @@
     harness.now_ms += 2 * PROBATION_MS;
     assert!(harness.tables.suspicion.has_expired(harness.now_ms));
     harness.apply(GatewayCommand::ExpireSuspicions { at_ms: harness.now_ms });
-    assert_eq!(harness.status("innocent"), Standing::Unsuspected);
-    assert_eq!(harness.status("fatal"), Standing::Unsuspected);
+    assert_eq!(harness.status("innocent"), SuspicionStatus::Unsuspected);
+    assert_eq!(harness.status("fatal"), SuspicionStatus::Unsuspected);
     assert!(harness.tables.suspicion.crashes.is_empty());
 }
 
@@ -375,8 +383,8 @@
     }
     assert!(harness.tables.suspicion.crashes.len() <= 256, "{}", harness.tables.suspicion.crashes.len());
     assert!(harness.tables.suspicion.quarantined.len() <= 1_024);
-    assert_eq!(harness.status("fatal-2999"), Standing::Quarantined, "the newest is retained");
-    assert_eq!(harness.status("fatal-1"), Standing::Unsuspected, "the oldest is evicted");
+    assert_eq!(harness.status("fatal-2999"), SuspicionStatus::Quarantined, "the newest is retained");
+    assert_eq!(harness.status("fatal-1"), SuspicionStatus::Unsuspected, "the oldest is evicted");
 }
 
 #[test]
@@ -391,8 +399,8 @@
     for bytes in [state.encode(), state.encode_for_non_voters()] {
         let decoded = State::decode(&bytes).unwrap_or_else(|error| panic!("{error}"));
         let suspicion = &decoded.tables.gateway.suspicion;
-        assert_eq!(suspicion.standing(fingerprint("fatal"), harness.now_ms), Standing::Quarantined);
-        assert_eq!(suspicion.standing(fingerprint("innocent"), harness.now_ms), Standing::Suspect);
+        assert_eq!(suspicion.standing(fingerprint("fatal"), harness.now_ms), SuspicionStatus::Quarantined);
+        assert_eq!(suspicion.standing(fingerprint("innocent"), harness.now_ms), SuspicionStatus::Suspect);
     }
 }
 
--- a/crates/state/tests/suspicion_properties.rs
+++ b/crates/state/tests/suspicion_properties.rs
@@ -2,7 +2,7 @@
 
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
 use dockwood_state::{
-    Command, CommandBody, CrashReport, GatewayCommand, Standing, State, SuspectAttempt, TrialRequest,
+    Command, CommandBody, CrashReport, GatewayCommand, State, SuspectAttempt, SuspicionStatus, TrialRequest,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
                 let status = self.voter.tables.gateway.suspicion.standing(fingerprint, at_ms);
                 assert_eq!(
                     status,
-                    Standing::Unsuspected,
+                    SuspicionStatus::Unsuspected,
                     "a complete response clears the request immediately"
                 );
             }
@@ -110,7 +110,7 @@
             let status = voter.standing(fingerprint, self.now_ms);
             assert_eq!(status, non_voter.standing(fingerprint, self.now_ms));
             let reports = self.reports.get(&request).copied().unwrap_or(0);
-            if status == Standing::Quarantined {
+            if status == SuspicionStatus::Quarantined {
                 assert!(reports >= MIN_CRASHES, "request {request} was listed in only {reports} reports");
             }
         }
