--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -87,7 +87,7 @@
     }
     let crashes = suspicion.crashes_against(fingerprint);
     let evidence = crashes.iter().filter_map(|row| shown_crash(row, fingerprint)).collect::<Vec<Value>>();
-    let standing = match suspicion.standing(fingerprint, now_ms) {
+    let standing = match suspicion.status(fingerprint, now_ms) {
         SuspicionStatus::Unsuspected => "unsuspected",
         SuspicionStatus::Suspect => "suspect",
         SuspicionStatus::Quarantined => "quarantined",
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -73,7 +73,7 @@
 
     fn standing(&self) -> SuspicionStatus {
         let tables = self.shared.tables();
-        let standing = tables.gateway.suspicion.standing(self.fingerprint(), wall_ms());
+        let standing = tables.gateway.suspicion.status(self.fingerprint(), wall_ms());
         let is_noted = || self.shared.suspects.unreported_ends.concerns(self.fingerprint());
         if standing == SuspicionStatus::Unsuspected && is_noted() {
             SuspicionStatus::Suspect
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -61,7 +61,7 @@
 
 impl SuspicionTable {
     /// How strongly a request is suspected at `at_ms`.
-    pub fn standing(&self, fingerprint: Fingerprint, at_ms: u64) -> SuspicionStatus {
+    pub fn status(&self, fingerprint: Fingerprint, at_ms: u64) -> SuspicionStatus {
         match self.quarantined.get(&fingerprint) {
             Some(row) if row.holds(at_ms) => SuspicionStatus::Quarantined,
             Some(_) => SuspicionStatus::Suspect,
@@ -235,7 +235,7 @@
     /// Grants a trial, or refuses it with the reason.
     pub(crate) fn begin_trial(&mut self, request: &TrialRequest) -> Applied {
         let (fingerprint, at_ms) = (request.fingerprint, request.at_ms);
-        if self.standing(fingerprint, at_ms) == SuspicionStatus::Quarantined {
+        if self.status(fingerprint, at_ms) == SuspicionStatus::Quarantined {
             let code = ResultCode::RequestQuarantined;
             return Applied::refused(code, code.meaning());
         }
--- a/crates/state/tests/attribution.rs
+++ b/crates/state/tests/attribution.rs
@@ -109,7 +109,7 @@
         if self.policy == Policy::NoHistory {
             return SuspicionStatus::Unsuspected;
         }
-        match self.tables.suspicion.standing(fingerprint, self.now_ms) {
+        match self.tables.suspicion.status(fingerprint, self.now_ms) {
             SuspicionStatus::Suspect if self.policy == Policy::CountOnly => SuspicionStatus::Unsuspected,
             status => status,
         }
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -84,7 +84,7 @@
     }
 
     fn status(&self, name: &str) -> SuspicionStatus {
-        self.tables.suspicion.standing(fingerprint(name), self.now_ms)
+        self.tables.suspicion.status(fingerprint(name), self.now_ms)
     }
 
     fn begin_trial(&mut self, name: &str, instance: &str, may_share: bool) -> Outcome {
@@ -399,8 +399,8 @@
     for bytes in [state.encode(), state.encode_for_non_voters()] {
         let decoded = State::decode(&bytes).unwrap_or_else(|error| panic!("{error}"));
         let suspicion = &decoded.tables.gateway.suspicion;
-        assert_eq!(suspicion.standing(fingerprint("fatal"), harness.now_ms), SuspicionStatus::Quarantined);
-        assert_eq!(suspicion.standing(fingerprint("innocent"), harness.now_ms), SuspicionStatus::Suspect);
+        assert_eq!(suspicion.status(fingerprint("fatal"), harness.now_ms), SuspicionStatus::Quarantined);
+        assert_eq!(suspicion.status(fingerprint("innocent"), harness.now_ms), SuspicionStatus::Suspect);
     }
 }
 
--- a/crates/state/tests/suspicion_properties.rs
+++ b/crates/state/tests/suspicion_properties.rs
@@ -86,7 +86,7 @@
                 self.reports.remove(&request);
                 let (fingerprint, reason) = (fingerprint(request), String::new());
                 self.apply(GatewayCommand::ClearRequest { fingerprint, reason });
-                let status = self.voter.tables.gateway.suspicion.standing(fingerprint, at_ms);
+                let status = self.voter.tables.gateway.suspicion.status(fingerprint, at_ms);
                 assert_eq!(
                     status,
                     SuspicionStatus::Unsuspected,
@@ -107,8 +107,8 @@
         assert_eq!(voter.quarantined, non_voter.quarantined);
         for request in 0..REQUESTS {
             let fingerprint = fingerprint(request);
-            let status = voter.standing(fingerprint, self.now_ms);
-            assert_eq!(status, non_voter.standing(fingerprint, self.now_ms));
+            let status = voter.status(fingerprint, self.now_ms);
+            assert_eq!(status, non_voter.status(fingerprint, self.now_ms));
             let reports = self.reports.get(&request).copied().unwrap_or(0);
             if status == SuspicionStatus::Quarantined {
                 assert!(reports >= MIN_CRASHES, "request {request} was listed in only {reports} reports");
