--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -68,7 +68,7 @@
         "fingerprint": row.fingerprint.to_string(),
         "tenant": row.tenant,
         "route": row.route,
-        "standing": if row.holds(now_ms) { "quarantined" } else { "onProbation" },
+        "standing": if row.is_active(now_ms) { "quarantined" } else { "onProbation" },
         "sinceMs": row.since_ms,
         "untilMs": row.until_ms,
         "offences": row.offences,
--- a/crates/state/src/suspicion/rows.rs
+++ b/crates/state/src/suspicion/rows.rs
@@ -100,7 +100,7 @@
 
 impl QuarantineRow {
     /// Whether the request is quarantined at `at_ms`, as opposed to on probation.
-    pub fn holds(&self, at_ms: u64) -> bool {
+    pub fn is_active(&self, at_ms: u64) -> bool {
         at_ms < self.until_ms
     }
 
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -63,7 +63,7 @@
     /// How strongly a request is suspected at `at_ms`.
     pub fn status(&self, fingerprint: Fingerprint, at_ms: u64) -> SuspicionStatus {
         match self.quarantined.get(&fingerprint) {
-            Some(row) if row.holds(at_ms) => SuspicionStatus::Quarantined,
+            Some(row) if row.is_active(at_ms) => SuspicionStatus::Quarantined,
             Some(_) => SuspicionStatus::Suspect,
             None if self.crashes_against(fingerprint).is_empty() => SuspicionStatus::Unsuspected,
             None => SuspicionStatus::Suspect,
@@ -191,7 +191,7 @@
     fn record_reoffence(&mut self, report: &CrashReport, tried: &SuspectAttempt) {
         let Some(current) = self.quarantined.get(&tried.fingerprint) else { return };
         let mut row = QuarantineRow::clone(current);
-        if !row.holds(report.at_ms) {
+        if !row.is_active(report.at_ms) {
             let doublings = row.offences.min(MAX_QUARANTINE_DOUBLINGS);
             row.offences += 1;
             row.since_ms = report.at_ms;
