--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -85,7 +85,7 @@
     if let Some(row) = suspicion.quarantined.get(&fingerprint) {
         return shown(row, now_ms);
     }
-    let crashes = suspicion.crashes_against(fingerprint);
+    let crashes = suspicion.attributed_crashes(fingerprint);
     let evidence = crashes.iter().filter_map(|row| shown_crash(row, fingerprint)).collect::<Vec<Value>>();
     let standing = match suspicion.status(fingerprint, now_ms) {
         SuspicionStatus::Unsuspected => "unsuspected",
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -206,7 +206,7 @@
         let Some(held_back) = held_back else { return };
         let tables = shared.tables();
         let suspicion = &tables.gateway.suspicion;
-        let crashes = suspicion.crashes_against(self.fingerprint());
+        let crashes = suspicion.attributed_crashes(self.fingerprint());
         let quarantined = suspicion.quarantined.get(&self.fingerprint());
         let evidence = quarantined.into_iter().flat_map(|row| &row.evidence);
         let told = evidence.map(|evidence| (evidence.instance.as_str(), evidence.at_ms));
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -65,14 +65,14 @@
         match self.quarantined.get(&fingerprint) {
             Some(row) if row.is_active(at_ms) => SuspicionStatus::Quarantined,
             Some(_) => SuspicionStatus::Suspect,
-            None if self.crashes_against(fingerprint).is_empty() => SuspicionStatus::Unsuspected,
+            None if self.attributed_crashes(fingerprint).is_empty() => SuspicionStatus::Unsuspected,
             None => SuspicionStatus::Suspect,
         }
     }
 
     /// Crashes attributed to a request: those in which no other suspect was involved in more crashes than this one. A
     /// request that merely shared a server with one involved in several crashes is not suspected for that crash.
-    pub fn crashes_against(&self, fingerprint: Fingerprint) -> Vec<&Arc<CrashRow>> {
+    pub fn attributed_crashes(&self, fingerprint: Fingerprint) -> Vec<&Arc<CrashRow>> {
         let Some(numbers) = self.crashes_of.get(&fingerprint) else { return Vec::new() };
         let crash_count =
             |suspect: &Suspect| self.crashes_of.get(&suspect.tried.fingerprint).map_or(0, OrdSet::len);
@@ -85,7 +85,7 @@
     pub fn zones_against(&self, fingerprint: Fingerprint) -> BTreeSet<&str> {
         let quarantined = self.quarantined.get(&fingerprint);
         let evidence_zones = quarantined.map(|row| row.zones()).unwrap_or_default();
-        let crashes = self.crashes_against(fingerprint);
+        let crashes = self.attributed_crashes(fingerprint);
         crashes.into_iter().map(|row| row.zone.as_str()).chain(evidence_zones).collect()
     }
 
@@ -157,7 +157,7 @@
     /// Quarantines a suspect if enough crashes are attributed to it.
     fn quarantine_if_attributed(&mut self, tried: &SuspectAttempt, at_ms: u64) {
         let fingerprint = tried.fingerprint;
-        let attributed = self.crashes_against(fingerprint);
+        let attributed = self.attributed_crashes(fingerprint);
         let zones: BTreeSet<&str> = attributed.iter().map(|row| row.zone.as_str()).collect();
         let needed = if zones.len() > 1 { QUARANTINE_CRASHES } else { QUARANTINE_CRASHES_IN_ONE_ZONE };
         if attributed.len() < needed {
@@ -268,7 +268,7 @@
         if self.quarantined.contains_key(&fingerprint) {
             return QUARANTINE_CRASHES;
         }
-        self.crashes_against(fingerprint).len()
+        self.attributed_crashes(fingerprint).len()
     }
 
     /// Whether a request with several attributed crashes is on trial on a server: no other requests are routed there.
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -153,7 +153,7 @@
         harness.report_crash(daemon, "b", "y", &["fatal"]);
     }
     assert_eq!(harness.status("fatal"), SuspicionStatus::Suspect);
-    assert_eq!(harness.tables.suspicion.crashes_against(fingerprint("fatal")).len(), 2);
+    assert_eq!(harness.tables.suspicion.attributed_crashes(fingerprint("fatal")).len(), 2);
 }
 
 #[test]
