--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -107,7 +107,7 @@
         }
         let tables = self.shared.tables();
         let tables = &tables.gateway;
-        let against = tables.suspicion.zones_against(self.fingerprint());
+        let against = tables.suspicion.crash_zones(self.fingerprint());
         if against.is_empty() {
             return None;
         }
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -82,7 +82,7 @@
     }
 
     /// Zones in which crashes are attributed to a request: the next attempt goes to another zone.
-    pub fn zones_against(&self, fingerprint: Fingerprint) -> BTreeSet<&str> {
+    pub fn crash_zones(&self, fingerprint: Fingerprint) -> BTreeSet<&str> {
         let quarantined = self.quarantined.get(&fingerprint);
         let evidence_zones = quarantined.map(|row| row.zones()).unwrap_or_default();
         let crashes = self.attributed_crashes(fingerprint);
--- a/crates/state/tests/attribution.rs
+++ b/crates/state/tests/attribution.rs
@@ -130,7 +130,7 @@
 
     /// Selects a server for a suspect, if a trial is granted.
     fn trial_server(&mut self, attempt: &Attempt) -> Option<usize> {
-        let crash_zones = self.tables.suspicion.zones_against(attempt.fingerprint);
+        let crash_zones = self.tables.suspicion.crash_zones(attempt.fingerprint);
         let crash_zones: BTreeSet<String> = crash_zones.into_iter().map(str::to_string).collect();
         let waited_ms = attempt.waiting_since.map_or(0, |since| self.now_ms - since);
         let mut refused = BTreeSet::new();
