--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -23,7 +23,7 @@
         let suspicion = &tables.gateway.suspicion;
         let now_ms = wall_ms();
         let items: Vec<Value> = suspicion.quarantined.values().map(|row| shown(row, now_ms)).collect();
-        let body = json!({ "kind": "QuarantineList", "suspects": suspicion.suspects(), "items": items });
+        let body = json!({ "kind": "QuarantineList", "suspects": suspicion.suspect_count(), "items": items });
         json_response(StatusCode::OK, ResultCode::Ok, &body)
     });
     answer(app, result)
--- a/crates/daemon/src/suspects/mod.rs
+++ b/crates/daemon/src/suspects/mod.rs
@@ -46,6 +46,6 @@
 
 /// Shows how many requests are suspected and under quarantine.
 pub fn count_suspects(metrics: &Metrics, suspicion: &SuspicionTable) {
-    metrics.suspects.set(suspicion.suspects() as i64);
+    metrics.suspects.set(suspicion.suspect_count() as i64);
     metrics.quarantined_requests.set(suspicion.quarantined.len() as i64);
 }
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -90,7 +90,7 @@
     }
 
     /// Number of requests that servers were running when they crashed, not counting quarantined ones.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.crashes_of.len()
     }
 
