--- a/crates/grouping/src/dispatch.rs
+++ b/crates/grouping/src/dispatch.rs
@@ -152,7 +152,8 @@
         let groups = tables.groups.values().filter(|group| {
             let serves = group.service == request.service && group.model == request.model;
             let is_open = group.phase == GroupPhase::Open && !tables.is_evacuated(&group.zone);
-            let is_in_danger = group.members.first().is_some_and(|head| tables.suspicion.is_in_danger(head));
+            let is_in_danger =
+                group.members.first().is_some_and(|head| tables.suspicion.has_dangerous_trial(head));
             !is_in_danger && serves && request.wants_zone(&group.zone) && is_open
         });
         let cold_rate = self.cold_rate(tables, &request.service);
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -272,7 +272,7 @@
     }
 
     /// Whether a request with several attributed crashes is on trial on a server: no other requests are routed there.
-    pub fn is_in_danger(&self, instance: &str) -> bool {
+    pub fn has_dangerous_trial(&self, instance: &str) -> bool {
         self.trials.values().any(|trial| trial.instance == instance && trial.crashes > 1)
     }
 
--- a/crates/state/tests/attribution.rs
+++ b/crates/state/tests/attribution.rs
@@ -155,7 +155,7 @@
             }
             SuspicionStatus::Unsuspected => {
                 let suspicion = &self.tables.suspicion;
-                self.least_loaded(|server| !suspicion.is_in_danger(&server.to_string()))
+                self.least_loaded(|server| !suspicion.has_dangerous_trial(&server.to_string()))
             }
             SuspicionStatus::Suspect => self.trial_server(&attempt),
         };
--- a/crates/state/tests/suspicion.rs
+++ b/crates/state/tests/suspicion.rs
@@ -261,8 +261,8 @@
     harness.crash("b", "y", &["one", "two"]);
     assert_eq!(refusal(harness.begin_trial("one", "c", true)), None);
     assert_eq!(refusal(harness.begin_trial("two", "c", true)), Some(ResultCode::ServerOnTrial));
-    assert!(harness.tables.suspicion.is_in_danger("c"));
-    assert!(!harness.tables.suspicion.is_in_danger("b"));
+    assert!(harness.tables.suspicion.has_dangerous_trial("c"));
+    assert!(!harness.tables.suspicion.has_dangerous_trial("b"));
 }
 
 #[test]
