--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -90,7 +90,7 @@
         if self.is_of_former_start(tables, report) {
             return None;
         }
-        if tables.is_barred(&report.id, report.started_ms) {
+        if tables.is_outdated_report(&report.id, report.started_ms) {
             // It never comes back, but it may be serving still, and its word on its group counts until it ends.
             if tables.instances.contains_key(&report.id) {
                 self.take_report(now, tables, report);
--- a/crates/state/src/gateway/mod.rs
+++ b/crates/state/src/gateway/mod.rs
@@ -141,7 +141,7 @@
 
     /// Whether a report of an instance that started at `started_ms` is outdated: the instance was removed, and has not
     /// restarted since.
-    pub fn is_barred(&self, id: &str, started_ms: Option<u64>) -> bool {
+    pub fn is_outdated_report(&self, id: &str, started_ms: Option<u64>) -> bool {
         self.removed.contains_start(id, started_ms)
     }
 
@@ -178,7 +178,7 @@
     }
 
     fn register(&mut self, row: &InstanceRow) -> Applied {
-        if self.is_barred(&row.id, row.started_ms) {
+        if self.is_outdated_report(&row.id, row.started_ms) {
             return Applied::refused(ResultCode::EpochStale, "the instance was removed");
         }
         let known_start = self.instances.get(&row.id).map(|known| known.started_ms);
