--- a/crates/control/src/account.rs
+++ b/crates/control/src/account.rs
@@ -267,7 +267,7 @@
 }
 
 fn touched_replicas(applied: &Applied) -> impl Iterator<Item = &ResourceKey> {
-    applied.touched.iter().filter(|key| key.kind == Kind::Replica)
+    applied.changed_keys.iter().filter(|key| key.kind == Kind::Replica)
 }
 
 fn replica_accounts(reason: &str, why: &str, applied: &Applied, tables: &Tables) -> Vec<Account> {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -346,7 +346,7 @@
             return;
         }
         let revision = self.board.revision();
-        self.outputs.push(Output::Touched { revision, keys: applied.touched.clone() });
+        self.outputs.push(Output::Touched { revision, keys: applied.changed_keys.clone() });
         self.dirty = true;
         // All voters record the time line, so that it survives any one of them.
         if self.voter.is_some() {
--- a/crates/state/src/change.rs
+++ b/crates/state/src/change.rs
@@ -117,7 +117,7 @@
     fn store(&mut self, resource: Resource) -> Applied {
         let key = resource.key();
         self.resources.insert(key.clone(), Arc::new(resource.clone()));
-        Applied { outcome: Outcome::Stored { resource, changed: true }, touched: vec![key] }
+        Applied { outcome: Outcome::Stored { resource, changed: true }, changed_keys: vec![key] }
     }
 
     fn delete(&mut self, key: &ResourceKey, resource_version: u64) -> Applied {
@@ -134,6 +134,6 @@
         }
         self.resources.remove(key);
         self.remove_order(key);
-        Applied { outcome: Outcome::Deleted(key.clone()), touched: vec![key.clone()] }
+        Applied { outcome: Outcome::Deleted(key.clone()), changed_keys: vec![key.clone()] }
     }
 }
--- a/crates/state/src/daemons.rs
+++ b/crates/state/src/daemons.rs
@@ -55,7 +55,7 @@
                     self.set_liveness(daemon, *incarnation, *liveness)
                 }
             };
-            changed_keys.extend(applied.touched);
+            changed_keys.extend(applied.changed_keys);
         }
         Applied::with_changes(changed_keys)
     }
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -38,16 +38,16 @@
     /// Returned to the proposer.
     pub outcome: Outcome,
     /// Keys of the resources that changed, for watches and the timeline.
-    pub touched: Vec<ResourceKey>,
+    pub changed_keys: Vec<ResourceKey>,
 }
 
 impl Applied {
     pub(crate) fn with_changes(changed_keys: Vec<ResourceKey>) -> Self {
-        Applied { outcome: Outcome::Applied, touched: changed_keys }
+        Applied { outcome: Outcome::Applied, changed_keys }
     }
 
     pub(crate) fn outcome(outcome: Outcome) -> Self {
-        Applied { outcome, touched: Vec::new() }
+        Applied { outcome, changed_keys: Vec::new() }
     }
 
     pub(crate) fn refused(code: ResultCode, message: impl Into<String>) -> Self {
