--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -18,8 +18,8 @@
     /// When this leader started to replicate to the follower.
     started_at: Millis,
     /// The last retransmission of entries that the follower lacked. After a partition a follower rejects every message
-    /// that was queued for it, and its entries must not be sent again for each of them: of rejections of the same round
-    /// or an earlier one, only those that request earlier entries cause another retransmission.
+    /// that was queued for it, and the entries that it lacks must not be sent again for each of them: of the rejections
+    /// of the same or an earlier round, only those that request earlier entries cause another retransmission.
     retransmission: Retransmission,
     /// Set while a snapshot is in flight; nothing else is sent until it is acknowledged or this time is reached.
     snapshot_deadline: Option<Millis>,
@@ -97,7 +97,8 @@
         now < acknowledged + self.settings.election_timeout_ms * LEASE_PERCENT / 100
     }
 
-    /// On a leader, the time since each other voter last replied; empty on other nodes.
+    /// On a leader, how long ago it sent the last message that each other voter has answered, or started to replicate to
+    /// that voter if none was answered since; empty on other nodes.
     pub fn silent_for(&self, now: Millis) -> BTreeMap<NodeId, Millis> {
         let Role::Leader(leader) = &self.role else { return BTreeMap::new() };
         let since = |progress: &Progress| progress.acknowledged.sent_at.max(progress.started_at);
--- a/crates/state/src/gateway/mod.rs
+++ b/crates/state/src/gateway/mod.rs
@@ -222,7 +222,7 @@
         self.set_phase(group.epoch, GroupPhase::Cutting, &format!("{id} has started again"));
     }
 
-    /// Copies the coldness of an instance to the group that it heads, if any.
+    /// Updates whether the head of the group that an instance heads, if any, is cold.
     fn update_head_is_cold(&mut self, instance: &str, is_cold: bool) {
         let headed = self.group_headed_by(instance).filter(|group| group.head_is_cold != is_cold);
         let Some(group) = headed.cloned() else { return };
--- a/crates/state/src/suspicion/table.rs
+++ b/crates/state/src/suspicion/table.rs
@@ -114,23 +114,23 @@
 
     /// Records a daemon's report of a crash, and quarantines the requests to which enough crashes are now attributed.
     pub(crate) fn server_ended(&mut self, report: &CrashReport) -> Applied {
-        for tried in &report.tries {
-            self.trials.remove(&tried.fingerprint);
+        for attempt in &report.tries {
+            self.trials.remove(&attempt.fingerprint);
         }
         let (quarantined, others): (Vec<&SuspectAttempt>, Vec<&SuspectAttempt>) =
-            report.tries.iter().partition(|tried| self.quarantined.contains_key(&tried.fingerprint));
+            report.tries.iter().partition(|attempt| self.quarantined.contains_key(&attempt.fingerprint));
         // A crash under a request that is known to crash servers needs no other cause.
         if quarantined.is_empty() {
             self.record_crash(report, &others);
         }
-        quarantined.iter().for_each(|tried| self.record_reoffence(report, tried));
-        others.iter().for_each(|tried| self.quarantine_if_attributed(tried, report.at_ms));
+        quarantined.iter().for_each(|attempt| self.record_reoffence(report, attempt));
+        others.iter().for_each(|attempt| self.quarantine_if_attributed(attempt, report.at_ms));
         self.enforce_limits();
         Applied::with_changes(Vec::new())
     }
 
     /// Adds the attempts of a report as suspects to the row of the crash, creating it for the first report.
-    fn record_crash(&mut self, report: &CrashReport, tries: &[&SuspectAttempt]) {
+    fn record_crash(&mut self, report: &CrashReport, attempts: &[&SuspectAttempt]) {
         let mut row = match self.crashes.values().rev().find(|row| is_same_crash(row, report)) {
             Some(row) => CrashRow::clone(row),
             None => {
@@ -145,18 +145,18 @@
                 }
             }
         };
-        for tried in tries {
-            if row.suspects.len() < MAX_SUSPECTS_PER_CRASH && row.suspect(tried.fingerprint).is_none() {
-                row.suspects.push(Suspect { tried: (*tried).clone(), daemon: report.daemon.clone() });
-                self.index_suspect(tried.fingerprint, row.number);
+        for attempt in attempts {
+            if row.suspects.len() < MAX_SUSPECTS_PER_CRASH && row.suspect(attempt.fingerprint).is_none() {
+                row.suspects.push(Suspect { tried: (*attempt).clone(), daemon: report.daemon.clone() });
+                self.index_suspect(attempt.fingerprint, row.number);
             }
         }
         self.crashes.insert(row.number, Arc::new(row));
     }
 
     /// Quarantines a suspect if enough crashes are attributed to it.
-    fn quarantine_if_attributed(&mut self, tried: &SuspectAttempt, at_ms: u64) {
-        let fingerprint = tried.fingerprint;
+    fn quarantine_if_attributed(&mut self, attempt: &SuspectAttempt, at_ms: u64) {
+        let fingerprint = attempt.fingerprint;
         let attributed = self.attributed_crashes(fingerprint);
         let zones: BTreeSet<&str> = attributed.iter().map(|row| row.zone.as_str()).collect();
         let needed = if zones.len() > 1 { QUARANTINE_CRASHES } else { QUARANTINE_CRASHES_IN_ONE_ZONE };
@@ -175,8 +175,8 @@
         });
         let row = QuarantineRow {
             fingerprint,
-            tenant: tried.tenant.clone(),
-            route: tried.route.clone(),
+            tenant: attempt.tenant.clone(),
+            route: attempt.route.clone(),
             since_ms: at_ms,
             until_ms: at_ms + FIRST_QUARANTINE_MS,
             offences: 1,
@@ -188,8 +188,8 @@
 
     /// Records a crash under a request that is quarantined or on probation. During the quarantine it is only added to the
     /// evidence, as the attempt was already in flight; during the probation it starts another quarantine.
-    fn record_reoffence(&mut self, report: &CrashReport, tried: &SuspectAttempt) {
-        let Some(current) = self.quarantined.get(&tried.fingerprint) else { return };
+    fn record_reoffence(&mut self, report: &CrashReport, attempt: &SuspectAttempt) {
+        let Some(current) = self.quarantined.get(&attempt.fingerprint) else { return };
         let mut row = QuarantineRow::clone(current);
         if !row.is_active(report.at_ms) {
             let doublings = row.offences.min(MAX_QUARANTINE_DOUBLINGS);
@@ -204,14 +204,15 @@
                 instance: report.instance.clone(),
                 zone: report.zone.clone(),
                 at_ms: report.at_ms,
-                request: tried.request.clone(),
+                request: attempt.request.clone(),
                 daemon: report.daemon.clone(),
             });
         }
-        self.quarantined.insert(tried.fingerprint, Arc::new(row));
+        self.quarantined.insert(attempt.fingerprint, Arc::new(row));
     }
 
-    /// Removes the crashes that a request was involved in: their cause is known, so no other request is suspected for them.
+    /// Removes the crashes that a request was involved in: their cause is known, so that no other request is suspected for
+    /// them.
     fn resolve_crashes(&mut self, fingerprint: Fingerprint) {
         let numbers = self.crashes_of.get(&fingerprint).cloned().unwrap_or_default();
         numbers.iter().for_each(|number| self.remove_crash(*number));
@@ -338,8 +339,8 @@
 /// request that it was running before belongs to another crash, as a suspect is tried on one server at a time.
 fn is_same_crash(row: &CrashRow, report: &CrashReport) -> bool {
     let apart_ms = row.at_ms.abs_diff(report.at_ms);
-    let is_new_attempt = |tried: &SuspectAttempt| {
-        row.suspect(tried.fingerprint).is_some_and(|suspect| suspect.tried.request != tried.request)
+    let is_new_attempt = |attempt: &SuspectAttempt| {
+        row.suspect(attempt.fingerprint).is_some_and(|suspect| suspect.tried.request != attempt.request)
     };
     let has_restarted = apart_ms >= MIN_RESTART_MS && report.tries.iter().any(is_new_attempt);
     row.instance == report.instance && apart_ms <= DUPLICATE_REPORT_WINDOW_MS && !has_restarted
