--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -90,7 +90,7 @@
         if self.is_from_earlier_start(tables, report) {
             return None;
         }
-        if tables.is_barred(&report.id, report.started_ms) {
+        if tables.is_outdated_report(&report.id, report.started_ms) {
             // The instance is never admitted again, but it may still be serving, and its reports on its group
             // count until it ends.
             if tables.instances.contains_key(&report.id) {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -349,7 +349,7 @@
             return;
         }
         let revision = self.board.revision();
-        self.outputs.push(Output::Touched { revision, keys: applied.touched.clone() });
+        self.outputs.push(Output::Touched { revision, keys: applied.changed_keys.clone() });
         self.dirty = true;
         // All voters record timeline events, so that they survive the loss of any one voter.
         if self.voter.is_some() {
--- a/crates/control/src/timeline.rs
+++ b/crates/control/src/timeline.rs
@@ -6,8 +6,8 @@
 use dockwood_api::gateway::InstanceState;
 use dockwood_api::resource::{Kind, ResourceKey};
 use dockwood_state::{
-    Applied, ChangeAction, ChangeRequest, Command, CommandBody, DaemonUpdate, Evidence, GatewayCommand,
-    Outcome, QuarantineRow, ReplicaPhase, ServerEnd, Tables,
+    Applied, ChangeAction, ChangeRequest, Command, CommandBody, CrashReport, DaemonUpdate, Evidence,
+    GatewayCommand, Outcome, QuarantineRow, ReplicaPhase, Tables,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -183,14 +183,14 @@
 }
 
 /// Describes the requests that a server was running when it ended.
-fn server_end_message(end: &ServerEnd) -> String {
+fn server_end_message(end: &CrashReport) -> String {
     let tries: Vec<String> =
         end.tries.iter().map(|tried| format!("{} as {}", tried.fingerprint, tried.request)).collect();
     format!("in zone {}, told by {}; suspects: {}", end.zone, end.daemon, tries.join(", "))
 }
 
 /// Returns an event for each request that this server end put under quarantine.
-fn quarantine_events(end: &ServerEnd, tables: &Tables) -> Vec<TimelineEvent> {
+fn quarantine_events(end: &CrashReport, tables: &Tables) -> Vec<TimelineEvent> {
     let quarantined =
         end.tries.iter().filter_map(|tried| tables.gateway.suspicion.quarantined.get(&tried.fingerprint));
     let new = quarantined.filter(|row| row.since_ms == end.at_ms);
@@ -270,7 +270,7 @@
 }
 
 fn touched_replicas(applied: &Applied) -> impl Iterator<Item = &ResourceKey> {
-    applied.touched.iter().filter(|key| key.kind == Kind::Replica)
+    applied.changed_keys.iter().filter(|key| key.kind == Kind::Replica)
 }
 
 fn replica_events(reason: &str, cause: &str, applied: &Applied, tables: &Tables) -> Vec<TimelineEvent> {
--- a/crates/control/tests/catch_up.rs
+++ b/crates/control/tests/catch_up.rs
@@ -222,7 +222,7 @@
         leader.advance(TICK_MS);
         followers.handle_answers(&mut leader);
     }
-    let copy = leader.node.state().encode_for_followers().len();
+    let copy = leader.node.state().encode_for_non_voters().len();
     assert!(followers.sent < copy * 60, "the leader itself sent {} snapshots", followers.sent / copy);
     for (assigned_at, source) in &followers.assignments {
         let soon = |(at, other): &&(u64, SocketAddr)| other == source && at.abs_diff(*assigned_at) < 200;
--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -8,7 +8,7 @@
 use dockwood_api::gateway::Fingerprint;
 use dockwood_api::{ApiError, ResultCode};
 use dockwood_state::{
-    CommandBody, CrashRow, Evidence, GatewayCommand, QuarantineRow, Standing, SuspicionTable,
+    CommandBody, CrashRow, Evidence, GatewayCommand, QuarantineRow, SuspicionStatus, SuspicionTable,
 };
 use poem::http::StatusCode;
 use poem::web::{Data, Path};
@@ -23,7 +23,7 @@
         let suspicion = &tables.gateway.suspicion;
         let now_ms = wall_ms();
         let items: Vec<Value> = suspicion.quarantined.values().map(|row| shown(row, now_ms)).collect();
-        let body = json!({ "kind": "QuarantineList", "suspects": suspicion.suspects(), "items": items });
+        let body = json!({ "kind": "QuarantineList", "suspects": suspicion.suspect_count(), "items": items });
         json_response(StatusCode::OK, ResultCode::Ok, &body)
     });
     answer(app, result)
@@ -68,7 +68,7 @@
         "fingerprint": row.fingerprint.to_string(),
         "tenant": row.tenant,
         "route": row.route,
-        "standing": if row.holds(now_ms) { "quarantined" } else { "onProbation" },
+        "standing": if row.is_active(now_ms) { "quarantined" } else { "onProbation" },
         "sinceMs": row.since_ms,
         "untilMs": row.until_ms,
         "offences": row.offences,
@@ -85,12 +85,12 @@
     if let Some(row) = suspicion.quarantined.get(&fingerprint) {
         return shown(row, now_ms);
     }
-    let crashes = suspicion.crashes_against(fingerprint);
+    let crashes = suspicion.attributed_crashes(fingerprint);
     let evidence = crashes.iter().filter_map(|row| shown_crash(row, fingerprint)).collect::<Vec<Value>>();
-    let standing = match suspicion.standing(fingerprint, now_ms) {
-        Standing::Unsuspected => "unsuspected",
-        Standing::Suspect => "suspect",
-        Standing::Quarantined => "quarantined",
+    let standing = match suspicion.status(fingerprint, now_ms) {
+        SuspicionStatus::Unsuspected => "unsuspected",
+        SuspicionStatus::Suspect => "suspect",
+        SuspicionStatus::Quarantined => "quarantined",
     };
     json!({ "fingerprint": fingerprint.to_string(), "standing": standing, "evidence": evidence })
 }
--- a/crates/grouping/tests/dispatch.rs
+++ b/crates/grouping/tests/dispatch.rs
@@ -5,7 +5,7 @@
 use common::{LARGE, SERVICE, TestCluster};
 use dockwood_api::gateway::{Fingerprint, LimitedGroup, PlaceReply, PlaceRequest, RequestIdentity};
 use dockwood_grouping::Dispatcher;
-use dockwood_state::{GatewayCommand, ServerEnd, SuspectTry, TrialRequest};
+use dockwood_state::{CrashReport, GatewayCommand, SuspectAttempt, TrialRequest};
 
 /// Eight slots and a queue of one.
 const PLACES: u32 = 9;
@@ -161,9 +161,9 @@
     let fingerprint = Fingerprint::of(&identity);
     for (instance, at_ms) in [("a", 0), ("b", 5_000)] {
         let request = format!("try at {instance}");
-        let suspect_try = SuspectTry { fingerprint, request, tenant: None, route: String::new() };
+        let suspect_try = SuspectAttempt { fingerprint, request, tenant: None, route: String::new() };
         let (instance, zone, daemon) = (instance.to_string(), "z".to_string(), "entry".to_string());
-        cluster.apply(GatewayCommand::ServerEnded(ServerEnd {
+        cluster.apply(GatewayCommand::ServerEnded(CrashReport {
             instance,
             zone,
             at_ms,
