--- a/crates/routing/src/admission/limits.rs
+++ b/crates/routing/src/admission/limits.rs
@@ -1,32 +1,32 @@
-//! Limits of tenants: requests a second, tokens a second, and requests at once.
+//! Tenant limits: requests per second, tokens per second, and concurrent requests.
 
 use crate::Millis;
 use dockwood_api::resource::TenantLimits;
 use std::collections::BTreeMap;
 
-/// A tenant may use this much of its rate in advance.
+/// Burst size: a tenant may use this much of its rate in advance.
 const BURST_MS: Millis = 1_000;
 
-/// Whether a tenant may add a request now.
+/// Whether a tenant may start a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimitVerdict {
-    /// It may.
-    Within,
-    /// Not now; try again after this many milliseconds.
-    Over(Millis),
+pub enum LimitDecision {
+    /// The request is within the limits and has been counted.
+    Admit,
+    /// A limit is exceeded; retry after this many milliseconds.
+    RetryAfter(Millis),
 }
 
-/// A token bucket counted in thousandths, so that slow rates lose nothing to rounding.
+/// A token bucket counted in thousandths, so that rounding does not distort slow rates.
 #[derive(Clone, Debug)]
-struct Bucket {
+struct TokenBucket {
     rate: u64,
     level: u64,
-    filled_at: Millis,
+    refilled_at: Millis,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: u32, now: Millis) -> Self {
-        let mut bucket = Bucket { rate: u64::from(rate), level: 0, filled_at: now };
+        let mut bucket = TokenBucket { rate: u64::from(rate), level: 0, refilled_at: now };
         bucket.level = bucket.capacity();
         bucket
     }
@@ -35,13 +35,13 @@
         self.rate * BURST_MS
     }
 
-    fn fill(&mut self, now: Millis) {
-        let gained = self.rate * now.saturating_sub(self.filled_at);
+    fn refill(&mut self, now: Millis) {
+        let gained = self.rate * now.saturating_sub(self.refilled_at);
         self.level = (self.level + gained).min(self.capacity());
-        self.filled_at = now;
+        self.refilled_at = now;
     }
 
-    /// How long until `amount` could be taken; an amount above the burst waits for a full bucket.
+    /// Time until `amount` can be taken; an amount above the burst size waits for a full bucket.
     fn wait_for(&self, amount: u32) -> Millis {
         if self.rate == 0 {
             return 0;
@@ -56,64 +56,64 @@
 }
 
 #[derive(Clone, Debug)]
-struct TenantUse {
+struct TenantUsage {
     limits: TenantLimits,
-    requests: Bucket,
-    tokens: Bucket,
+    requests: TokenBucket,
+    tokens: TokenBucket,
     concurrent: u32,
 }
 
-/// What each tenant uses of a pool.
+/// Usage of each tenant in one pool.
 #[derive(Clone, Debug, Default)]
 pub struct TenantLimiter {
-    tenants: BTreeMap<String, TenantUse>,
+    tenants: BTreeMap<String, TenantUsage>,
 }
 
 impl TenantLimiter {
-    /// Sets a tenant's limits; what it uses now stays counted.
+    /// Sets a tenant's limits. Its concurrent requests remain counted.
     pub fn configure(&mut self, now: Millis, tenant: &str, limits: TenantLimits) {
-        if self.tenants.get(tenant).is_some_and(|known| known.limits == limits) {
+        if self.tenants.get(tenant).is_some_and(|current| current.limits == limits) {
             return;
         }
-        let concurrent = self.tenants.get(tenant).map_or(0, |known| known.concurrent);
-        let fresh = TenantUse {
+        let concurrent = self.tenants.get(tenant).map_or(0, |current| current.concurrent);
+        let fresh = TenantUsage {
             limits,
-            requests: Bucket::new(limits.requests_per_second, now),
-            tokens: Bucket::new(limits.tokens_per_second, now),
+            requests: TokenBucket::new(limits.requests_per_second, now),
+            tokens: TokenBucket::new(limits.tokens_per_second, now),
             concurrent,
         };
         self.tenants.insert(tenant.to_string(), fresh);
     }
 
-    /// Counts a request in, unless that would pass a limit. Tenants that were never configured have none.
-    pub fn admit(&mut self, now: Millis, tenant: &str, cost_tokens: u32) -> LimitVerdict {
-        let Some(used) = self.tenants.get_mut(tenant) else { return LimitVerdict::Within };
-        used.requests.fill(now);
-        used.tokens.fill(now);
-        let wait = used.requests.wait_for(1).max(used.tokens.wait_for(cost_tokens));
+    /// Counts a new request, unless it exceeds a limit. Tenants without configured limits are unlimited.
+    pub fn admit(&mut self, now: Millis, tenant: &str, cost_tokens: u32) -> LimitDecision {
+        let Some(usage) = self.tenants.get_mut(tenant) else { return LimitDecision::Admit };
+        usage.requests.refill(now);
+        usage.tokens.refill(now);
+        let wait = usage.requests.wait_for(1).max(usage.tokens.wait_for(cost_tokens));
         if wait > 0 {
-            return LimitVerdict::Over(wait);
+            return LimitDecision::RetryAfter(wait);
         }
-        if used.limits.concurrency > 0 && used.concurrent >= used.limits.concurrency {
-            return LimitVerdict::Over(BURST_MS);
+        if usage.limits.concurrency > 0 && usage.concurrent >= usage.limits.concurrency {
+            return LimitDecision::RetryAfter(BURST_MS);
         }
-        used.requests.take(1);
-        used.tokens.take(cost_tokens);
-        used.concurrent += 1;
-        LimitVerdict::Within
+        usage.requests.take(1);
+        usage.tokens.take(cost_tokens);
+        usage.concurrent += 1;
+        LimitDecision::Admit
     }
 
-    /// Counts a request out.
-    pub fn leave(&mut self, tenant: &str) {
-        if let Some(used) = self.tenants.get_mut(tenant) {
-            used.concurrent = used.concurrent.saturating_sub(1);
+    /// Records the end of a request.
+    pub fn release(&mut self, tenant: &str) {
+        if let Some(usage) = self.tenants.get_mut(tenant) {
+            usage.concurrent = usage.concurrent.saturating_sub(1);
         }
     }
 
-    /// Counts in a request that was granted by an earlier coordinator.
-    pub fn adopt(&mut self, tenant: &str) {
-        if let Some(used) = self.tenants.get_mut(tenant) {
-            used.concurrent += 1;
+    /// Counts a request that was granted by an earlier coordinator.
+    pub fn record_granted(&mut self, tenant: &str) {
+        if let Some(usage) = self.tenants.get_mut(tenant) {
+            usage.concurrent += 1;
         }
     }
 }
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission: in which order waiting requests get slots, and which tenants are over their limits.
+//! Admission control: the order in which waiting requests get slots, and tenant limits.
 
 mod limits;
 mod queue;
 
-pub use limits::{LimitVerdict, TenantLimiter};
-pub use queue::{AGEING_MS, AdmissionQueue, QUANTUM_TOKENS, Waiting};
+pub use limits::{LimitDecision, TenantLimiter};
+pub use queue::{AGEING_MS, AdmissionQueue, QUANTUM_TOKENS, QueuedRequest};
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,32 +1,33 @@
-//! Choice of a replica for one request: prefix affinity with bounded load.
+//! Replica selection for one request: prefix affinity with bounded load.
 
-/// Load above this share of the mean, in percent, takes a replica out of affinity's reach.
+/// Prefix affinity is ignored for replicas whose load is above this percentage of the mean.
 const BOUNDED_LOAD_PERCENT: u64 = 125;
 
-/// How a replica is chosen. All but [`ChoicePolicy::PrefixAffinity`] are baselines for measurement.
+/// How a replica is selected. All policies but [`ChoicePolicy::PrefixAffinity`] are baselines for
+/// measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ChoicePolicy {
     /// Longest cached prefix among replicas that are not overloaded, then least loaded.
     #[default]
     PrefixAffinity,
-    /// Least loaded, prefixes left aside.
+    /// Least loaded; cached prefixes are ignored.
     LeastLoaded,
-    /// In turn.
+    /// Least recently granted.
     RoundRobin,
 }
 
-/// A replica that may take the request now.
+/// A replica that can take the request now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
     /// Replica resource name.
     pub replica: &'a str,
     /// Slots in use.
     pub used: u32,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
-    /// Blocks of the prompt's prefix that it probably holds.
+    /// Number of the prompt's leading blocks that the replica probably holds.
     pub matched_blocks: usize,
-    /// When it was last granted, as a counter.
+    /// Sequence number of the last grant to this replica.
     pub last_granted: u64,
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Picks among candidates that all have a free slot. Ties go to the one that waited longest for a request.
+/// Selects one of the candidates, which all have a free slot. Ties go to the least recently granted one.
 pub fn choose<'a>(policy: ChoicePolicy, candidates: &[Candidate<'a>]) -> Option<&'a str> {
     let best = match policy {
         ChoicePolicy::PrefixAffinity => {
@@ -60,6 +61,6 @@
 fn load_bound(candidates: &[Candidate<'_>]) -> u64 {
     let total: u64 = candidates.iter().map(Candidate::load).sum();
     let mean = total / (candidates.len().max(1) as u64);
-    // One request on an idle pool must not break affinity, so the bound never falls below one slot in eight.
+    // A single request on an idle pool must not break affinity, so the bound is at least one slot in eight.
     (mean * BOUNDED_LOAD_PERCENT / 100).max(125)
 }
--- a/crates/routing/src/coordinator/mod.rs
+++ b/crates/routing/src/coordinator/mod.rs
@@ -1,14 +1,14 @@
-//! The coordinator of one pool: holds the queue and the slots, and grants.
+//! The coordinator of one pool: manages the queue and the slots, and grants slots to waiting requests.
 //!
-//! It never touches a request's data. Its state is soft: a successor rebuilds the slots from what the entries
-//! hold, and the queue from their repeated calls.
+//! It never handles request data. Its state is soft: a successor rebuilds the slots from what the entries
+//! report, and the queue from their repeated calls.
 
 mod protocol;
 
 pub use protocol::{Input, Output, PoolConfig, PoolReplica, PoolSnapshot, ReplicaLoad, TenantShare, Ticket};
 
 use crate::Millis;
-use crate::admission::{AdmissionQueue, LimitVerdict, TenantLimiter, Waiting};
+use crate::admission::{AdmissionQueue, LimitDecision, QueuedRequest, TenantLimiter};
 use crate::choice::{Candidate, choose};
 use crate::gate::EvidenceTable;
 use crate::prefix::PrefixIndex;
@@ -16,19 +16,20 @@
 use dockwood_api::peer::{AcquireRequest, Grant, Refusal, SlotReturn};
 use std::collections::BTreeMap;
 
-/// Blocks in the prefix index of a pool.
+/// Capacity of a pool's prefix index, in blocks.
 const PREFIX_CAPACITY: usize = 65_536;
-/// An entry that is not heard of for this long has lost its slots.
-const ENTRY_SILENCE_MS: Millis = 6_000;
-/// A slot that its entry does not name is freed only if it is older than this: the grant may be on its way.
-const GRANT_IN_FLIGHT_MS: Millis = 3_000;
+/// The slots of an entry that has not been heard from for this long are freed.
+const ENTRY_TIMEOUT_MS: Millis = 6_000;
+/// A slot that its entry does not report is freed only after this time, because the grant may still be on its
+/// way to the entry.
+const GRANT_DELIVERY_GRACE_MS: Millis = 3_000;
 /// Service times are averaged over about this many requests.
 const SERVICE_TIME_SAMPLES: u64 = 32;
-/// Assumed time in a slot before any was measured.
+/// Assumed service time before the first measurement.
 const INITIAL_SERVICE_MS: Millis = 1_000;
-/// A retry time is never below this.
+/// Minimum retry-after time in refusals.
 const MIN_RETRY_MS: Millis = 100;
-/// Slot numbers of one coordinator's term; the term stands above them.
+/// Bits of a slot number that count the slots of one coordinator term; the term is stored in the bits above.
 const SLOT_BITS: u32 = 32;
 
 #[derive(Clone, Debug)]
@@ -40,25 +41,25 @@
 }
 
 #[derive(Clone, Debug)]
-struct Call {
+struct PendingAcquire {
     ticket: Ticket,
     request: AcquireRequest,
 }
 
-/// The pure core of a pool's coordinator.
+/// State machine of a pool's coordinator, without I/O.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     config: PoolConfig,
-    queue: AdmissionQueue<Call>,
+    queue: AdmissionQueue<PendingAcquire>,
     limiter: TenantLimiter,
     gate: EvidenceTable,
     prefixes: PrefixIndex,
     slots: BTreeMap<u64, Slot>,
     used: BTreeMap<String, u32>,
     last_granted: BTreeMap<String, u64>,
-    entries_heard: BTreeMap<String, Millis>,
+    entry_last_seen: BTreeMap<String, Millis>,
     next_slot: u64,
-    service_ms: Millis,
+    mean_service_ms: Millis,
     outputs: Vec<Output>,
 }
 
@@ -73,16 +74,16 @@
             slots: BTreeMap::new(),
             used: BTreeMap::new(),
             last_granted: BTreeMap::new(),
-            entries_heard: BTreeMap::new(),
+            entry_last_seen: BTreeMap::new(),
             next_slot: 0,
-            service_ms: INITIAL_SERVICE_MS,
+            mean_service_ms: INITIAL_SERVICE_MS,
             outputs: Vec::new(),
         }
     }
 }
 
 impl Coordinator {
-    /// Takes one input and returns what is to be done.
+    /// Processes one input and returns the resulting outputs.
     pub fn step(&mut self, now: Millis, input: Input) -> Vec<Output> {
         match input {
             Input::Configure(config) => self.configure(now, config),
@@ -90,7 +91,7 @@
             Input::Acquire { ticket, request } => self.acquire(now, ticket, request),
             Input::Cancel { ticket } => self.cancel(ticket),
             Input::Release(slot_return) => self.release(now, &slot_return),
-            Input::EntryHolds { entry, slots } => self.entry_holds(now, &entry, &slots),
+            Input::EntryHolds { entry, slots } => self.reconcile_entry(now, &entry, &slots),
             Input::Tick => self.tick(now),
         }
         self.grant_waiting(now);
@@ -105,17 +106,17 @@
             open: replica.serving && self.gate.open_for(now, &replica.name, replica.epoch).is_some(),
         };
         PoolSnapshot {
-            waiting: self.queue.lengths(),
+            waiting: self.queue.lengths_by_tier(),
             replicas: self.config.replicas.iter().map(load).collect(),
         }
     }
 
     fn configure(&mut self, now: Millis, config: PoolConfig) {
         for replica in &self.config.replicas {
-            let same =
+            let unchanged =
                 config.replicas.iter().any(|next| next.name == replica.name && next.epoch == replica.epoch);
-            if !same {
-                self.prefixes.forget(&replica.name);
+            if !unchanged {
+                self.prefixes.remove_replica(&replica.name);
             }
         }
         for (tenant, share) in &config.tenants {
@@ -128,7 +129,7 @@
     }
 
     fn acquire(&mut self, now: Millis, ticket: Ticket, request: AcquireRequest) {
-        self.entries_heard.insert(request.entry.clone(), now);
+        self.entry_last_seen.insert(request.entry.clone(), now);
         let Some(share) = self.config.tenants.get(&request.tenant).copied() else {
             self.refuse(ticket, ResultCode::UnknownTenant, 0, "the pool does not know the tenant");
             return;
@@ -142,7 +143,7 @@
             );
             return;
         }
-        if let Some(wait) = self.hopeless_wait(share.tier, request.wait_ms) {
+        if let Some(wait) = self.wait_beyond_deadline(share.tier, request.wait_ms) {
             self.refuse(
                 ticket,
                 ResultCode::DeadlineUnreachable,
@@ -151,33 +152,35 @@
             );
             return;
         }
-        if !self.make_room(share.tier) {
+        if !self.ensure_queue_space(share.tier) {
             let wait = self.expected_wait(share.tier);
             self.refuse(ticket, ResultCode::QueueFull, wait, "the queue is full");
             return;
         }
-        if let LimitVerdict::Over(wait) = self.limiter.admit(now, &request.tenant, request.cost_tokens) {
+        if let LimitDecision::RetryAfter(wait) = self.limiter.admit(now, &request.tenant, request.cost_tokens)
+        {
             self.refuse(ticket, ResultCode::TenantLimit, wait, "the tenant is over its limit");
             return;
         }
-        self.queue.push(Waiting {
+        self.queue.push(QueuedRequest {
             tenant: request.tenant.clone(),
             tier: share.tier,
             weight: share.weight,
             cost_tokens: request.cost_tokens,
-            since: now,
-            until: now + Millis::from(request.wait_ms),
-            item: Call { ticket, request },
+            enqueued_at: now,
+            deadline: now + Millis::from(request.wait_ms),
+            item: PendingAcquire { ticket, request },
         });
     }
 
-    /// Whether there is room for a newcomer; a lower tier's newest request gives way.
-    fn make_room(&mut self, tier: u8) -> bool {
+    /// Whether a new request fits into the queue; if it is full, the newest request of a lower tier is
+    /// evicted.
+    fn ensure_queue_space(&mut self, tier: u8) -> bool {
         if self.queue.len() < self.config.queue_limit as usize || self.queue.is_empty() {
             return true;
         }
-        let Some(displaced) = self.queue.pop_below(tier) else { return false };
-        self.limiter.leave(&displaced.tenant);
+        let Some(displaced) = self.queue.evict_below(tier) else { return false };
+        self.limiter.release(&displaced.tenant);
         let wait = self.expected_wait(displaced.tier);
         self.refuse(
             displaced.item.ticket,
@@ -194,21 +197,22 @@
         self.outputs.push(Output::Refused(ticket, refusal));
     }
 
-    /// The wait expected for a newcomer of this tier: requests ahead over the rate at which slots come free.
+    /// Expected wait of a new request in this tier: requests ahead of it divided by the rate at which slots
+    /// are freed.
     fn expected_wait(&self, tier: u8) -> Millis {
         let slots = u64::from(self.config.slots_per_replica) * self.config.replicas.len().max(1) as u64;
-        self.queue.ahead_of(tier) as u64 * self.service_ms / slots.max(1)
+        self.queue.ahead_of(tier) as u64 * self.mean_service_ms / slots.max(1)
     }
 
-    /// The expected wait, if it is certain enough to pass the deadline that waiting is no use.
-    fn hopeless_wait(&self, tier: u8, wait_ms: u32) -> Option<Millis> {
+    /// How far the expected wait exceeds the caller's deadline; `None` if the request can be served in time.
+    fn wait_beyond_deadline(&self, tier: u8, wait_ms: u32) -> Option<Millis> {
         let expected = self.expected_wait(tier);
         (expected > Millis::from(wait_ms)).then(|| expected - Millis::from(wait_ms))
     }
 
     fn cancel(&mut self, ticket: Ticket) {
         for waiting in self.queue.remove_where(|waiting| waiting.item.ticket == ticket) {
-            self.limiter.leave(&waiting.tenant);
+            self.limiter.release(&waiting.tenant);
         }
     }
 
@@ -219,8 +223,8 @@
             self.gate.close(now, &replica);
         }
         let held_ms = now.saturating_sub(slot.granted_at);
-        let sum = self.service_ms * (SERVICE_TIME_SAMPLES - 1) + held_ms;
-        self.service_ms = sum / SERVICE_TIME_SAMPLES;
+        let sum = self.mean_service_ms * (SERVICE_TIME_SAMPLES - 1) + held_ms;
+        self.mean_service_ms = sum / SERVICE_TIME_SAMPLES;
         self.free(slot_return.slot);
         self.report_idle();
     }
@@ -231,7 +235,7 @@
             *used = used.saturating_sub(1);
         }
         if let Some(tenant) = &slot.tenant {
-            self.limiter.leave(tenant);
+            self.limiter.release(tenant);
         }
     }
 
@@ -244,9 +248,10 @@
         self.used.get(replica).copied().unwrap_or(0)
     }
 
-    /// Slots that the entry holds and this coordinator does not know were granted by a predecessor.
-    fn entry_holds(&mut self, now: Millis, entry: &str, held: &[(u64, String)]) {
-        self.entries_heard.insert(entry.to_string(), now);
+    /// Frees slots that the entry no longer reports, and adopts reported slots that are unknown here: those
+    /// were granted by a predecessor.
+    fn reconcile_entry(&mut self, now: Millis, entry: &str, held: &[(u64, String)]) {
+        self.entry_last_seen.insert(entry.to_string(), now);
         for (number, replica) in held {
             if !self.slots.contains_key(number) {
                 let slot = Slot {
@@ -259,20 +264,20 @@
             }
         }
         let is_held = |number: &u64| held.iter().any(|(held, _)| held == number);
-        let lost: Vec<u64> = self
+        let orphaned: Vec<u64> = self
             .slots
             .iter()
-            .filter(|(_, slot)| slot.entry == entry && now >= slot.granted_at + GRANT_IN_FLIGHT_MS)
+            .filter(|(_, slot)| slot.entry == entry && now >= slot.granted_at + GRANT_DELIVERY_GRACE_MS)
             .map(|(number, _)| *number)
             .filter(|number| !is_held(number))
             .collect();
-        lost.into_iter().for_each(|number| self.free(number));
+        orphaned.into_iter().for_each(|number| self.free(number));
         self.report_idle();
     }
 
     fn tick(&mut self, now: Millis) {
-        for expired in self.queue.remove_where(|waiting| now >= waiting.until) {
-            self.limiter.leave(&expired.tenant);
+        for expired in self.queue.remove_where(|waiting| now >= waiting.deadline) {
+            self.limiter.release(&expired.tenant);
             let wait = self.expected_wait(expired.tier);
             self.refuse(
                 expired.item.ticket,
@@ -281,12 +286,13 @@
                 "no slot within the deadline",
             );
         }
-        self.queue.age(now);
-        let heard = &self.entries_heard;
-        let is_silent = |slot: &Slot| heard.get(&slot.entry).is_none_or(|at| now >= at + ENTRY_SILENCE_MS);
-        let lost: Vec<u64> =
-            self.slots.iter().filter(|(_, slot)| is_silent(slot)).map(|(number, _)| *number).collect();
-        lost.into_iter().for_each(|number| self.free(number));
+        self.queue.promote_aged(now);
+        let last_seen = &self.entry_last_seen;
+        let has_timed_out =
+            |slot: &Slot| last_seen.get(&slot.entry).is_none_or(|at| now >= at + ENTRY_TIMEOUT_MS);
+        let orphaned: Vec<u64> =
+            self.slots.iter().filter(|(_, slot)| has_timed_out(slot)).map(|(number, _)| *number).collect();
+        orphaned.into_iter().for_each(|number| self.free(number));
         self.report_idle();
     }
 
@@ -311,15 +317,16 @@
                 return;
             }
             let replicas = &self.config.replicas;
-            let takes = |call: &Call, replica: &PoolReplica| !avoids(call, &replica.name, replicas);
+            let accepts =
+                |call: &PendingAcquire, replica: &PoolReplica| !is_excluded(call, &replica.name, replicas);
             let Some(waiting) =
-                self.queue.pop(|waiting| free.iter().any(|(replica, _)| takes(&waiting.item, replica)))
+                self.queue.pop(|waiting| free.iter().any(|(replica, _)| accepts(&waiting.item, replica)))
             else {
                 return;
             };
-            let fitting: Vec<&(PoolReplica, Millis)> =
-                free.into_iter().filter(|(replica, _)| takes(&waiting.item, replica)).collect();
-            self.grant(now, waiting, &fitting);
+            let eligible: Vec<&(PoolReplica, Millis)> =
+                free.into_iter().filter(|(replica, _)| accepts(&waiting.item, replica)).collect();
+            self.grant(now, waiting, &eligible);
         }
     }
 
@@ -337,10 +344,15 @@
         self.used_slots(replica) < self.config.slots_per_replica
     }
 
-    fn grant(&mut self, now: Millis, waiting: Waiting<Call>, fitting: &[&(PoolReplica, Millis)]) {
-        let Call { ticket, request } = waiting.item;
+    fn grant(
+        &mut self,
+        now: Millis,
+        waiting: QueuedRequest<PendingAcquire>,
+        eligible: &[&(PoolReplica, Millis)],
+    ) {
+        let PendingAcquire { ticket, request } = waiting.item;
         let matches = self.prefixes.matches(&request.prefix_blocks);
-        let candidates: Vec<Candidate<'_>> = fitting
+        let candidates: Vec<Candidate<'_>> = eligible
             .iter()
             .map(|(replica, _)| Candidate {
                 replica: &replica.name,
@@ -352,7 +364,7 @@
             .collect();
         let chosen = choose(self.config.policy, &candidates);
         let Some((replica, open_for)) =
-            fitting.iter().find(|(replica, _)| Some(replica.name.as_str()) == chosen)
+            eligible.iter().find(|(replica, _)| Some(replica.name.as_str()) == chosen)
         else {
             return;
         };
@@ -374,15 +386,15 @@
             head: replica.head,
             priority: waiting.tier,
             valid_ms: *open_for as u32,
-            queued_ms: now.saturating_sub(waiting.since) as u32,
+            queued_ms: now.saturating_sub(waiting.enqueued_at) as u32,
         };
         self.outputs.push(Output::Granted(ticket, grant));
     }
 }
 
-/// Whether a call is kept from a replica that has failed it. With no other replica serving there is nowhere else to go;
-/// a replica that broke is closed by the gate until it is whole again.
-fn avoids(call: &Call, replica: &str, replicas: &[PoolReplica]) -> bool {
+/// Whether the call must not go to this replica because an earlier attempt failed there. If no other replica
+/// is serving, the replica is allowed; the gate keeps a broken replica closed until it is complete again.
+fn is_excluded(call: &PendingAcquire, replica: &str, replicas: &[PoolReplica]) -> bool {
     let avoided = &call.request.avoid;
     let is_avoided = |name: &str| avoided.iter().any(|avoided| avoided == name);
     is_avoided(replica) && replicas.iter().any(|other| other.serving && !is_avoided(&other.name))
--- a/crates/routing/src/coordinator/protocol.rs
+++ b/crates/routing/src/coordinator/protocol.rs
@@ -1,4 +1,4 @@
-//! What goes into a coordinator and what comes out of it.
+//! Inputs and outputs of a coordinator.
 
 use crate::choice::ChoicePolicy;
 use dockwood_api::peer::{AcquireRequest, Grant, Refusal, ReplicaEvidence, SlotReturn};
@@ -6,98 +6,98 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Identifies a waiting call; chosen by the caller of [`Coordinator::step`].
+/// Identifies a waiting call; assigned by the caller of [`Coordinator::step`].
 pub type Ticket = u64;
 
 /// A replica of the pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolReplica {
-    /// Resource name.
+    /// Replica resource name.
     pub name: String,
     /// Current epoch.
     pub epoch: u64,
-    /// The head's engine address.
+    /// Engine address of the head machine.
     pub head: SocketAddr,
-    /// Loaded and not draining.
+    /// Whether the replica is loaded and not draining.
     pub serving: bool,
-    /// To be reported once nothing is in flight.
+    /// Whether the replica is draining; it is reported once no request is in flight.
     pub draining: bool,
 }
 
-/// A tenant's place in the order.
+/// Scheduling parameters of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantShare {
-    /// 0 first.
+    /// Priority tier; 0 is served first.
     pub tier: u8,
-    /// Share within the tier.
+    /// Weight within the tier.
     pub weight: u32,
-    /// Limits.
+    /// Rate and concurrency limits.
     pub limits: TenantLimits,
 }
 
-/// What the configuration says of a pool.
+/// Configuration of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolConfig {
-    /// Grows with every change of coordinator; makes slot numbers unique.
+    /// Incremented with every change of coordinator; makes slot numbers unique.
     pub term: u64,
-    /// Requests that one replica runs at once.
+    /// Maximum number of concurrent requests per replica.
     pub slots_per_replica: u32,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue_limit: u32,
-    /// Replicas declared.
+    /// Number of replicas that the deployment declares.
     pub declared_replicas: u32,
     /// The pool's replicas.
     pub replicas: Vec<PoolReplica>,
     /// Tenants by name.
     pub tenants: BTreeMap<String, TenantShare>,
-    /// How replicas are chosen.
+    /// Policy for selecting replicas.
     pub policy: ChoicePolicy,
 }
 
-/// What happened.
+/// An event that the coordinator processes.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The configuration changed.
     Configure(PoolConfig),
-    /// A watcher reports.
+    /// A watcher reported on a replica.
     Evidence(ReplicaEvidence),
-    /// An entry asks for a slot.
+    /// An entry requests a slot.
     Acquire {
-        /// Names the call in outputs.
+        /// Identifies the call in outputs.
         ticket: Ticket,
-        /// The call.
+        /// The request.
         request: AcquireRequest,
     },
-    /// The entry gave up waiting.
+    /// The entry stopped waiting.
     Cancel {
-        /// The call.
+        /// The call that is cancelled.
         ticket: Ticket,
     },
     /// An entry returns a slot.
     Release(SlotReturn),
-    /// An entry shows all slots it holds, each with its replica.
+    /// An entry reports all slots that it holds, each with its replica.
     EntryHolds {
-        /// The entry.
+        /// Name of the entry.
         entry: String,
-        /// Slot and replica.
+        /// Slot numbers and replica names.
         slots: Vec<(u64, String)>,
     },
-    /// Time passed.
+    /// Time has passed; expires calls and slots.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the caller of [`Coordinator::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Answer the call with a grant.
     Granted(Ticket, Grant),
     /// Answer the call with a refusal.
     Refused(Ticket, Refusal),
-    /// A draining replica has nothing in flight.
+    /// A draining replica has no requests in flight.
     ReplicaIdle {
-        /// Resource name.
+        /// Replica resource name.
         replica: String,
-        /// Its epoch.
+        /// Epoch of the replica.
         epoch: u64,
     },
 }
@@ -105,11 +105,11 @@
 /// Load of one replica, for status and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaLoad {
-    /// Resource name.
+    /// Replica resource name.
     pub replica: String,
     /// Slots in use.
     pub used: u32,
-    /// Whether the gate is open.
+    /// Whether the serving gate is open.
     pub open: bool,
 }
 
@@ -118,6 +118,6 @@
 pub struct PoolSnapshot {
     /// Waiting requests by tier.
     pub waiting: BTreeMap<u8, usize>,
-    /// Load by replica.
+    /// Load of each replica.
     pub replicas: Vec<ReplicaLoad>,
 }
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -1,10 +1,10 @@
-//! The serving gate: whether there is fresh evidence that every machine of a replica is alive.
+//! The serving gate: whether there is recent evidence that every machine of a replica is alive.
 
 use crate::Millis;
 use dockwood_api::peer::ReplicaEvidence;
 use std::collections::BTreeMap;
 
-/// Evidence older than this counts as none.
+/// Evidence older than this is ignored.
 pub const EVIDENCE_WINDOW_MS: Millis = 1500;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,38 +14,39 @@
     at: Millis,
 }
 
-/// The newest evidence on each replica.
+/// The newest evidence about each replica.
 #[derive(Clone, Debug, Default)]
 pub struct EvidenceTable {
-    rows: BTreeMap<String, Evidence>,
+    by_replica: BTreeMap<String, Evidence>,
 }
 
 impl EvidenceTable {
-    /// Takes a watcher's report. A report on an older epoch, or one made before the newest, is passed over. That
-    /// every machine is alive counts from the echoed clock, which is no later than the look itself; that one is
-    /// missing counts from now, as closing too long costs only time.
+    /// Records a watcher's report. Reports about an older epoch, or made before the newest known one, are
+    /// ignored. Evidence that every machine is alive is dated by the echoed clock, which is no later than the
+    /// check itself. Evidence that a machine is missing is dated now, because keeping the gate closed for too
+    /// long only costs time.
     pub fn record(&mut self, now: Millis, report: &ReplicaEvidence) {
         let at = if report.complete { report.echo_ms.min(now) } else { now };
-        let fresh = Evidence { epoch: report.epoch, complete: report.complete, at };
-        match self.rows.get(&report.replica) {
-            Some(known) if (known.epoch, known.at) > (fresh.epoch, fresh.at) => {}
+        let reported = Evidence { epoch: report.epoch, complete: report.complete, at };
+        match self.by_replica.get(&report.replica) {
+            Some(current) if (current.epoch, current.at) > (reported.epoch, reported.at) => {}
             _ => {
-                self.rows.insert(report.replica.clone(), fresh);
+                self.by_replica.insert(report.replica.clone(), reported);
             }
         }
     }
 
-    /// Closes the gate until new evidence arrives: an entry saw the replica break.
+    /// Closes the gate until new evidence arrives. Called when an entry has seen the replica fail.
     pub fn close(&mut self, now: Millis, replica: &str) {
-        if let Some(evidence) = self.rows.get_mut(replica) {
+        if let Some(evidence) = self.by_replica.get_mut(replica) {
             evidence.complete = false;
             evidence.at = now;
         }
     }
 
-    /// For how long the evidence on this epoch still holds; `None` if the gate is closed.
+    /// How long the evidence for this epoch remains valid; `None` if the gate is closed.
     pub fn open_for(&self, now: Millis, replica: &str, epoch: u64) -> Option<Millis> {
-        let evidence = self.rows.get(replica)?;
+        let evidence = self.by_replica.get(replica)?;
         if evidence.epoch != epoch || !evidence.complete {
             return None;
         }
@@ -53,8 +54,8 @@
         (now < ends).then(|| ends - now)
     }
 
-    /// Forgets replicas that `keep` does not name.
+    /// Removes the replicas for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.rows.retain(|replica, _| keep(replica));
+        self.by_replica.retain(|replica, _| keep(replica));
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,8 @@
-//! Routing decisions: which request gets a slot next, on which replica, and which address a caller should use.
+//! Routing decisions: which request gets the next slot, on which replica, and which entry address a caller
+//! should use.
 //!
-//! Everything here is pure: time comes in as milliseconds, results go out as values. It sends nothing, and it
-//! does not assign machines or coordinators (that is `placement`).
+//! This crate is pure: time is passed in as milliseconds and results are returned as values. It performs no
+//! I/O, and it does not assign machines or coordinators (see the `placement` crate).
 
 pub mod admission;
 mod choice;
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,7 +1,7 @@
-//! Which replicas probably hold a prompt's prefix in their KV cache.
+//! Estimates which replicas hold a prompt's prefix in their KV cache.
 //!
-//! The index is an estimate: it assumes that a replica caches what it was sent. It is bounded, forgets the
-//! oldest first, and forgets a replica whole when its epoch changes.
+//! The index assumes that a replica caches every prompt it was sent. It is bounded and evicts the oldest
+//! block first. When a replica's epoch changes, all of its blocks are removed.
 
 use dockwood_api::digest::content_digest;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -9,36 +9,37 @@
 /// Bytes of prompt text in one block.
 pub const PREFIX_BLOCK_BYTES: usize = 256;
 
-/// Longest prefix that is looked at, in blocks.
+/// Longest prefix that is matched, in blocks.
 const MAX_BLOCKS: usize = 32;
 
-/// Digests of a prompt's blocks; each covers everything before it, so equal digests mean equal prefixes.
+/// Digests of a prompt's blocks. Each digest covers all bytes before it as well, so equal digests mean equal
+/// prefixes.
 pub fn prefix_blocks(prompt: &str) -> Vec<u64> {
     let bytes = prompt.as_bytes();
     let whole_blocks = (bytes.len() / PREFIX_BLOCK_BYTES).min(MAX_BLOCKS);
     (1..=whole_blocks).map(|count| content_digest(&bytes[..count * PREFIX_BLOCK_BYTES])).collect()
 }
 
-/// A bounded index from block digest to the replicas that were sent it.
+/// A bounded index from block digest to the replicas that were sent that block.
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
     capacity: usize,
     holders: HashMap<u64, Vec<String>>,
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl PrefixIndex {
-    /// An index of at most `capacity` blocks.
+    /// Creates an index of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
-        PrefixIndex { capacity: capacity.max(1), holders: HashMap::new(), order: VecDeque::new() }
+        PrefixIndex { capacity: capacity.max(1), holders: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
-    /// Notes that a replica was sent a prompt with these blocks.
+    /// Records that a replica was sent a prompt with these blocks.
     pub fn insert(&mut self, blocks: &[u64], replica: &str) {
         for block in blocks {
             if !self.holders.contains_key(block) {
-                self.make_room();
-                self.order.push_back(*block);
+                self.evict_oldest();
+                self.insertion_order.push_back(*block);
             }
             let holders = self.holders.entry(*block).or_default();
             if !holders.iter().any(|holder| holder == replica) {
@@ -47,15 +48,15 @@
         }
     }
 
-    fn make_room(&mut self) {
-        while self.order.len() >= self.capacity
-            && let Some(oldest) = self.order.pop_front()
+    fn evict_oldest(&mut self) {
+        while self.insertion_order.len() >= self.capacity
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.holders.remove(&oldest);
         }
     }
 
-    /// Blocks of the prefix that each replica probably holds, without gaps from the start.
+    /// Number of leading blocks of the prompt that each replica probably holds, counted without gaps.
     pub fn matches(&self, blocks: &[u64]) -> BTreeMap<&str, usize> {
         let mut matched: BTreeMap<&str, usize> = BTreeMap::new();
         for (depth, block) in blocks.iter().enumerate() {
@@ -70,20 +71,20 @@
         matched
     }
 
-    /// Forgets all that a replica held.
-    pub fn forget(&mut self, replica: &str) {
+    /// Removes a replica from all blocks.
+    pub fn remove_replica(&mut self, replica: &str) {
         for holders in self.holders.values_mut() {
             holders.retain(|holder| holder != replica);
         }
     }
 
-    /// Blocks in the index.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
-        self.order.len()
+        self.insertion_order.len()
     }
 
     /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.insertion_order.is_empty()
     }
 }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,13 +1,15 @@
-//! The retry budget: retries never exceed a set share of the load, so that they can't feed an overload.
+//! The retry budget: retries are limited to a fixed share of the load, so that they cannot amplify an
+//! overload.
 
-/// Retries allowed for each hundred requests.
+/// Retries allowed per hundred requests.
 const RETRY_PERCENT: u64 = 20;
-/// Retries that are always allowed, so that a quiet daemon can retry at all.
+/// Retries that are always allowed, so that a daemon with little traffic can retry at all.
 const MIN_RETRIES: u64 = 10;
-/// Counts are halved when this many requests have been counted, so that the budget follows the load.
+/// Both counters are halved when this many requests have been counted, so that the budget follows the current
+/// load.
 const WINDOW_REQUESTS: u64 = 1_000;
 
-/// Counts requests and retries of one daemon.
+/// Counts the requests and retries of one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     requests: u64,
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Counts a retry if the budget allows it.
+    /// Counts a retry and returns true, if the budget allows it.
     pub fn try_retry(&mut self) -> bool {
         let allowed = (self.requests * RETRY_PERCENT / 100).max(MIN_RETRIES);
         if self.retries >= allowed {
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,29 +1,36 @@
-//! Order of admission, limits, and the coordinator's promises.
+//! Admission order, tenant limits, and the guarantees of the coordinator.
 
 use dockwood_api::ResultCode;
 use dockwood_api::peer::{AcquireRequest, ReplicaEvidence, SlotReturn};
 use dockwood_api::resource::TenantLimits;
-use dockwood_routing::admission::{AGEING_MS, AdmissionQueue, LimitVerdict, TenantLimiter, Waiting};
+use dockwood_routing::admission::{AGEING_MS, AdmissionQueue, LimitDecision, QueuedRequest, TenantLimiter};
 use dockwood_routing::{
     ChoicePolicy, Coordinator, EVIDENCE_WINDOW_MS, Input, Output, PoolConfig, PoolReplica, TenantShare,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn waiting(item: u64, tenant: &str, tier: u8, weight: u32, cost: u32, since: u64) -> Waiting<u64> {
-    Waiting {
+fn waiting(
+    item: u64,
+    tenant: &str,
+    tier: u8,
+    weight: u32,
+    cost: u32,
+    enqueued_at: u64,
+) -> QueuedRequest<u64> {
+    QueuedRequest {
         item,
         tenant: tenant.to_string(),
         tier,
         weight,
         cost_tokens: cost,
-        since,
-        until: since + 100_000,
+        enqueued_at,
+        deadline: enqueued_at + 100_000,
     }
 }
 
 #[test]
-fn tiers_go_in_strict_order() {
+fn tiers_are_served_in_strict_order() {
     let mut queue = AdmissionQueue::default();
     queue.push(waiting(1, "low", 2, 1, 10, 0));
     queue.push(waiting(2, "high", 0, 1, 10, 5));
@@ -52,26 +59,29 @@
 }
 
 #[test]
-fn nothing_waits_for_ever_behind_a_higher_tier() {
+fn aged_requests_move_to_the_first_tier() {
     let mut queue = AdmissionQueue::default();
     queue.push(waiting(1, "low", 3, 1, 10, 0));
     queue.push(waiting(2, "high", 0, 1, 10, AGEING_MS));
-    queue.age(AGEING_MS);
+    queue.promote_aged(AGEING_MS);
     assert_eq!(queue.ahead_of(0), 2);
 }
 
 #[test]
-fn limits_hold_and_name_the_time_to_come_back() {
+fn tenant_limits_apply_and_return_a_retry_time() {
     let mut limiter = TenantLimiter::default();
     limiter.configure(0, "t", TenantLimits { requests_per_second: 2, tokens_per_second: 0, concurrency: 3 });
-    assert_eq!(limiter.admit(0, "t", 1), LimitVerdict::Within);
-    assert_eq!(limiter.admit(0, "t", 1), LimitVerdict::Within);
-    assert_eq!(limiter.admit(0, "t", 1), LimitVerdict::Over(500));
-    assert_eq!(limiter.admit(500, "t", 1), LimitVerdict::Within);
-    assert!(matches!(limiter.admit(5_000, "t", 1), LimitVerdict::Over(_)), "three are under way");
-    limiter.leave("t");
-    assert_eq!(limiter.admit(5_000, "t", 1), LimitVerdict::Within);
-    assert_eq!(limiter.admit(0, "unlimited", 1_000_000), LimitVerdict::Within);
+    assert_eq!(limiter.admit(0, "t", 1), LimitDecision::Admit);
+    assert_eq!(limiter.admit(0, "t", 1), LimitDecision::Admit);
+    assert_eq!(limiter.admit(0, "t", 1), LimitDecision::RetryAfter(500));
+    assert_eq!(limiter.admit(500, "t", 1), LimitDecision::Admit);
+    assert!(
+        matches!(limiter.admit(5_000, "t", 1), LimitDecision::RetryAfter(_)),
+        "three requests are in flight"
+    );
+    limiter.release("t");
+    assert_eq!(limiter.admit(5_000, "t", 1), LimitDecision::Admit);
+    assert_eq!(limiter.admit(0, "unlimited", 1_000_000), LimitDecision::Admit);
 }
 
 #[test]
@@ -82,7 +92,7 @@
         "t",
         TenantLimits { requests_per_second: 0, tokens_per_second: 100, concurrency: 0 },
     );
-    let admitted = (0..10_000).filter(|now| limiter.admit(*now, "t", 10) == LimitVerdict::Within).count();
+    let admitted = (0..10_000).filter(|now| limiter.admit(*now, "t", 10) == LimitDecision::Admit).count();
     assert!(
         (105..=111).contains(&admitted),
         "{admitted} requests of 10 tokens in 10 s at 100 tokens/s and a burst"
@@ -167,14 +177,17 @@
 }
 
 #[test]
-fn without_evidence_nothing_is_granted() {
+fn nothing_is_granted_without_evidence() {
     let mut pool = Coordinator::default();
     pool.step(0, Input::Configure(config(vec![replica("a", 2)])));
     assert!(grants(&acquire(&mut pool, 0, 1, "top")).is_empty());
-    assert!(grants(&pool.step(1, evidence(1, "a", 1, true))).is_empty(), "evidence on an older epoch");
+    assert!(grants(&pool.step(1, evidence(1, "a", 1, true))).is_empty(), "evidence for an older epoch");
     assert!(grants(&pool.step(2, evidence(2, "a", 2, false))).is_empty(), "a machine is missing");
     assert_eq!(grants(&pool.step(3, evidence(3, "a", 2, true))).len(), 1);
-    assert!(grants(&acquire(&mut pool, 3 + EVIDENCE_WINDOW_MS, 2, "top")).is_empty(), "evidence has aged");
+    assert!(
+        grants(&acquire(&mut pool, 3 + EVIDENCE_WINDOW_MS, 2, "top")).is_empty(),
+        "the evidence is too old"
+    );
 }
 
 #[test]
@@ -186,7 +199,7 @@
 }
 
 #[test]
-fn slots_bound_what_runs_and_the_queue_what_waits() {
+fn slots_limit_running_and_the_queue_waiting_requests() {
     let mut pool = open_pool();
     let granted: usize = (0..4).map(|ticket| grants(&acquire(&mut pool, 1_001, ticket, "low")).len()).sum();
     assert_eq!(granted, 4);
@@ -197,7 +210,7 @@
     assert_eq!(
         refusals(&acquire(&mut pool, 1_003, 9, "top")),
         [(7, ResultCode::QueueFull)],
-        "the newest of the lower tier gives way"
+        "the newest request of the lower tier is evicted"
     );
 }
 
@@ -219,7 +232,7 @@
 }
 
 #[test]
-fn a_broken_replica_gets_nothing_until_new_evidence() {
+fn a_broken_replica_gets_no_requests_until_new_evidence() {
     let mut pool = open_pool();
     let first = grants(&acquire(&mut pool, 1_001, 1, "top"));
     pool.step(1_002, slot_return(first[0].2, true));
@@ -231,8 +244,8 @@
     assert_eq!(grants(&pool.step(1_100, evidence(1_100, &broken, 1, true)))[0].1, broken);
 }
 
-/// A request that had failed at the one replica that serves waited for its whole deadline, as another replica was declared
-/// and could not be formed.
+/// Guards against a request that had failed on the only serving replica waiting for its whole deadline: it
+/// was kept from that replica because another one was declared, although that one could not be formed.
 #[test]
 fn a_request_avoids_a_replica_only_while_another_one_serves() {
     let forming = PoolReplica { serving: false, ..replica("b", 7) };
@@ -241,16 +254,16 @@
     pool.step(0, Input::Configure(config(vec![replica("a", 6), forming])));
     pool.step(0, evidence(0, "a", 6, true));
     let alone = pool.step(0, Input::Acquire { ticket: 1, request: avoiding() });
-    assert_eq!(grants(&alone).len(), 1, "there is nowhere else");
+    assert_eq!(grants(&alone).len(), 1, "no other replica is serving");
     pool.step(0, Input::Configure(config(vec![replica("a", 6), replica("b", 7)])));
     let waiting = pool.step(0, Input::Acquire { ticket: 2, request: avoiding() });
-    assert_eq!(grants(&waiting), [], "the other one serves, and has not been heard of yet");
+    assert_eq!(grants(&waiting), [], "the other replica is serving, but there is no evidence on it yet");
     let other = pool.step(10, evidence(10, "b", 7, true));
     assert_eq!(grants(&other).iter().map(|grant| grant.1.as_str()).collect::<Vec<_>>(), ["b"]);
 }
 
 #[test]
-fn a_prefix_draws_its_requests_together_while_load_is_bounded() {
+fn prefix_affinity_applies_within_the_load_bound() {
     let mut pool = open_pool();
     let with_prefix = |pool: &mut Coordinator, ticket| {
         let outputs =
@@ -266,7 +279,7 @@
 }
 
 #[test]
-fn slots_of_a_lost_entry_come_free_and_those_of_a_live_one_do_not() {
+fn slots_that_an_entry_does_not_report_are_freed_after_the_grace_period() {
     let mut pool = open_pool();
     let slots: Vec<(u64, String)> = (0..4)
         .flat_map(|ticket| grants(&acquire(&mut pool, 1_001, ticket, "top")))
@@ -277,11 +290,11 @@
     assert!(grants(&pool.step(1_500, held.clone())).is_empty(), "the grant may still be on its way");
     pool.step(5_000, evidence(5_000, "a", 1, true));
     pool.step(5_000, evidence(5_000, "b", 1, true));
-    assert_eq!(grants(&pool.step(5_000, held)).len(), 1, "the entry does not hold the fourth");
+    assert_eq!(grants(&pool.step(5_000, held)).len(), 1, "the entry does not report the fourth slot");
 }
 
 #[test]
-fn a_successor_adopts_what_entries_hold() {
+fn a_new_coordinator_adopts_slots_held_by_entries() {
     let mut pool = open_pool();
     let held: Vec<(u64, String)> =
         (1..=4).map(|slot| (slot, if slot < 3 { "a" } else { "b" }.to_string())).collect();
@@ -304,12 +317,12 @@
 }
 
 #[test]
-fn a_request_that_can_not_be_served_in_time_is_refused_at_once() {
+fn a_request_that_cannot_be_served_in_time_is_refused_at_once() {
     let mut pool = open_pool();
-    let mut hurried = request("low", "e", Vec::new());
-    hurried.wait_ms = 50;
+    let mut urgent = request("low", "e", Vec::new());
+    urgent.wait_ms = 50;
     (0..6).for_each(|ticket| drop(acquire(&mut pool, 1_001, ticket, "top")));
-    let outputs = pool.step(1_002, Input::Acquire { ticket: 9, request: hurried });
+    let outputs = pool.step(1_002, Input::Acquire { ticket: 9, request: urgent });
     assert_eq!(refusals(&outputs), [(9, ResultCode::DeadlineUnreachable)]);
 }
 
@@ -332,7 +345,7 @@
 
 proptest! {
     #[test]
-    fn never_more_than_the_slots_and_every_call_gets_one_answer(steps in proptest::collection::vec(any_step(), 1..120)) {
+    fn slots_are_never_exceeded_and_every_call_gets_one_answer(steps in proptest::collection::vec(any_step(), 1..120)) {
         let mut pool = open_pool();
         let (mut now, mut ticket) = (1_000, 0);
         let mut held: Vec<(u64, String)> = Vec::new();
@@ -351,7 +364,7 @@
                 Step::Evidence(which, complete) => pool.step(now, evidence(now, if which { "a" } else { "b" }, 1, complete)),
                 Step::Wait(elapsed) => {
                     now += elapsed;
-                    // The entry shows what it holds, so nothing is taken for lost.
+                    // The entry reports its slots, so none of them is freed.
                     pool.step(now, Input::EntryHolds { entry: "e".to_string(), slots: held.clone() })
                 }
             };
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of entries, replicas and servers.
+//! Selection of entries, replicas and servers.
 
 use dockwood_routing::{
     BackendPicker, CallResult, Candidate, ChoicePolicy, EntryCandidate, PREFIX_BLOCK_BYTES, PrefixIndex,
@@ -18,29 +18,30 @@
 }
 
 #[test]
-fn sessions_spread_and_keep_their_entry() {
+fn sessions_are_spread_and_keep_their_entry() {
     let all = candidates(&entries());
     let mut first: BTreeMap<&str, usize> = BTreeMap::new();
     for session in 0..900 {
         let order = entry_order(&all, &format!("s{session}"), None, 4);
         assert_eq!(order.len(), 4);
         *first.entry(order[0].name).or_default() += 1;
-        let without_last: Vec<_> = all.iter().filter(|one| one.name != order[3].name).cloned().collect();
+        let without_last: Vec<_> =
+            all.iter().filter(|candidate| candidate.name != order[3].name).cloned().collect();
         assert_eq!(entry_order(&without_last, &format!("s{session}"), None, 4)[0].name, order[0].name);
     }
     assert!(first.values().all(|count| (60..150).contains(count)), "{first:?}");
 }
 
 #[test]
-fn a_callers_zone_comes_first_and_another_is_always_named() {
+fn entries_of_the_callers_zone_come_first_and_one_is_in_another_zone() {
     let all = candidates(&entries());
     let order = entry_order(&all, "s", Some("y"), 3);
-    assert_eq!(order.iter().map(|one| one.zone).collect::<Vec<_>>()[..2], ["y", "y"]);
+    assert_eq!(order.iter().map(|candidate| candidate.zone).collect::<Vec<_>>()[..2], ["y", "y"]);
     assert_ne!(order[2].zone, "y");
 }
 
 #[test]
-fn policies_choose_as_they_say() {
+fn each_policy_chooses_its_best_candidate() {
     let candidate = |replica, used, matched_blocks, last_granted| Candidate {
         replica,
         used,
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn prefixes_match_from_the_start_and_are_forgotten() {
+fn prefixes_match_from_the_start_and_can_be_removed() {
     let text = "x".repeat(PREFIX_BLOCK_BYTES * 3 + 10);
     let blocks = prefix_blocks(&text);
     assert_eq!(blocks.len(), 3);
@@ -64,7 +65,7 @@
     index.insert(&blocks[..2], "a");
     index.insert(&blocks, "b");
     assert_eq!(index.matches(&blocks), BTreeMap::from([("a", 2), ("b", 3)]));
-    index.forget("b");
+    index.remove_replica("b");
     assert_eq!(index.matches(&blocks), BTreeMap::from([("a", 2)]));
     let other = prefix_blocks(&format!("y{text}"));
     assert!(index.matches(&other).is_empty());
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_the_load() {
+fn retries_stay_within_their_share_of_the_load() {
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..10_000 {
@@ -89,16 +90,16 @@
 }
 
 #[test]
-fn two_choices_balance_and_limits_hold() {
+fn two_choices_balance_load_within_the_limits() {
     let mut picker = BackendPicker::default();
     let servers = ["a", "b", "c"];
     let picked = (0..30_u64).filter_map(|n| picker.pick(0, &servers, 8, [n * 7, n * 13 + 1])).count();
-    assert_eq!(picked, 24, "three servers of eight calls each");
+    assert_eq!(picked, 24, "three servers with a limit of eight calls each");
     assert!(servers.iter().all(|name| picker.state(name).map(|state| state.in_flight) == Some(8)));
 }
 
 #[test]
-fn a_failing_server_is_ejected_and_returns_but_never_more_than_half() {
+fn failing_servers_are_ejected_temporarily_and_at_most_half_of_them() {
     let mut picker = BackendPicker::default();
     let servers = ["a", "b"];
     for name in servers {
@@ -110,6 +111,9 @@
     let at = |picker: &mut BackendPicker, now| {
         (0..20_u64).filter_map(|n| picker.pick(now, &servers, 1_000, [n, n + 1])).collect::<Vec<_>>()
     };
-    assert!(at(&mut picker, 10).iter().all(|name| name == "b"), "a is out, and b may not be ejected as well");
-    assert!(at(&mut picker, 60_000).iter().any(|name| name == "a"), "a is back");
+    assert!(
+        at(&mut picker, 10).iter().all(|name| name == "b"),
+        "a is ejected, so b may not be ejected as well"
+    );
+    assert!(at(&mut picker, 60_000).iter().any(|name| name == "a"), "a is no longer ejected");
 }
