--- a/crates/routing/src/pushback/named_limit.rs
+++ b/crates/routing/src/pushback/named_limit.rs
@@ -1,24 +1,24 @@
-//! Reads how many requests a second a server says that it takes, from all senders together.
+//! Parses the header in which a server declares its limit in requests per second for all senders together.
 
 use dockwood_api::gateway::RequestRate;
 
-/// Nothing beyond this many requests a second limits anybody.
-const MOST_PER_SECOND: f64 = 100_000.0;
+/// Larger values are clamped to this rate, which limits no sender.
+const MAX_PER_SECOND: f64 = 100_000.0;
 
-/// What an answer says of its server's limit.
+/// The limit that an answer declares for its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NamedLimit {
-    /// Nothing: the server takes what comes.
+    /// No limit is declared.
     #[default]
     Absent,
-    /// There is a limit that can't be read. It changes nothing.
+    /// The header cannot be parsed. The known limit is left unchanged.
     Unreadable,
-    /// So many requests, from all senders together.
+    /// Maximum request rate of all senders together.
     Rate(RequestRate),
 }
 
 impl NamedLimit {
-    /// Reads the values of all headers of that name in one answer. Of several the lowest counts.
+    /// Parses the values of all headers of that name in one answer. The lowest of several values applies.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> NamedLimit {
         let mut named = NamedLimit::Absent;
         for value in values {
@@ -32,7 +32,7 @@
         named
     }
 
-    /// The rate, if one is named.
+    /// The rate, if one is declared.
     pub fn rate(self) -> Option<RequestRate> {
         match self {
             NamedLimit::Rate(rate) => Some(rate),
@@ -43,5 +43,5 @@
 
 fn read_rate(value: &[u8]) -> Option<RequestRate> {
     let per_second = super::signals::read_decimal(std::str::from_utf8(value).ok()?.trim())?;
-    Some(RequestRate::of_requests(per_second.min(MOST_PER_SECOND)))
+    Some(RequestRate::of_requests(per_second.min(MAX_PER_SECOND)))
 }
--- a/crates/routing/src/pushback/signals.rs
+++ b/crates/routing/src/pushback/signals.rs
@@ -1,30 +1,30 @@
-//! Reads what an answer asks of its receiver beyond what it says of the request: `Retry-After` (RFC 9110, section
-//! 10.2.3), and the mark of a server that is about to leave.
+//! Parses the signals that a server's answer carries besides the result of the request: `Retry-After` (RFC
+//! 9110, section 10.2.3), and the header that announces that the server is leaving.
 
 use super::NamedLimit;
 use crate::Millis;
 use std::time::SystemTime;
 
-/// Statuses whose `Retry-After` says when the server takes requests again: Service Unavailable and Too Many Requests. On a
-/// redirection the header means something else, and elsewhere nothing.
+/// Statuses for which `Retry-After` states when the server accepts requests again: Service Unavailable and
+/// Too Many Requests. On a redirection the header has a different meaning, and on other statuses it has none.
 const PUSHBACK_STATUSES: [u16; 2] = [503, 429];
 const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
 
-/// What an answer's `Retry-After` says.
+/// Value of an answer's `Retry-After`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// There is none.
+    /// The header is absent.
     #[default]
     Absent,
-    /// There is one that is neither a number of seconds nor a date.
+    /// The header is neither a number of seconds nor a date.
     Unreadable,
-    /// Not before this has passed, in milliseconds.
+    /// Minimum delay before the next request, in milliseconds.
     After(Millis),
 }
 
 impl RetryAfter {
-    /// Reads the values of all headers of that name in one answer, at the time of day `now`. Seconds may have a fraction;
-    /// a date that has passed is no time at all. Of several values the longest counts.
+    /// Parses the values of all headers of that name in one answer; `now` is the current wall-clock time.
+    /// Seconds may have a fraction; a date in the past is no delay. The longest of several values applies.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>, now: SystemTime) -> RetryAfter {
         let read = values.map(|value| RetryAfter::read_one(value, now));
         read.max_by_key(|value| match value {
@@ -46,12 +46,12 @@
     }
 }
 
-/// Milliseconds from a decimal number of seconds. Anything beyond the range of milliseconds is its end.
+/// Converts a decimal number of seconds to milliseconds, saturating at the maximum.
 fn read_seconds(text: &str) -> Option<Millis> {
     Some((read_decimal(text)? * MILLISECONDS_PER_SECOND).ceil() as Millis)
 }
 
-/// A decimal number without a sign or an exponent.
+/// Parses a decimal number without sign or exponent.
 pub(super) fn read_decimal(text: &str) -> Option<f64> {
     let is_decimal = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     if !is_decimal || !text.starts_with(|first: char| first.is_ascii_digit()) {
@@ -60,22 +60,22 @@
     text.parse().ok()
 }
 
-/// Whether an answer says that its server is about to leave.
+/// Whether an answer announces that its server is leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeavingMark {
-    /// It doesn't.
+    /// The server is not leaving.
     #[default]
     Absent,
-    /// The header has a value that says neither. It is not believed: a server that is left alone by mistake stays so until
-    /// it starts again.
+    /// The header has an invalid value, which is ignored: a server that is wrongly considered to be leaving
+    /// would receive no requests until it restarts.
     Unreadable,
-    /// It does.
+    /// The server is leaving.
     Leaving,
 }
 
 impl LeavingMark {
-    /// Reads the values of all headers of that name in one answer: `1` says that it leaves, `0` that it doesn't. Where
-    /// they contradict each other, it leaves.
+    /// Parses the values of all headers of that name in one answer: `1` means that the server is leaving, `0`
+    /// that it is not. Of contradictory values, `1` applies.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> LeavingMark {
         let read = values.map(|value| match value.trim_ascii() {
             b"1" => LeavingMark::Leaving,
@@ -86,21 +86,21 @@
     }
 }
 
-/// What one answer asks of whoever got it.
+/// Signals carried by one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerSignals {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// When it wants the next request.
+    /// Requested delay before the next request.
     pub retry_after: RetryAfter,
-    /// Whether its server leaves.
+    /// Whether the server is leaving.
     pub leaving: LeavingMark,
-    /// How many requests a second its server takes.
+    /// Declared limit in requests per second.
     pub limit: NamedLimit,
 }
 
 impl AnswerSignals {
-    /// For how long the server wants no requests, in milliseconds; `None` if it doesn't ask for that.
+    /// Length of the backoff period that the server asks for, in milliseconds; `None` if it asks for none.
     pub fn pushback_ms(&self) -> Option<Millis> {
         match self.retry_after {
             RetryAfter::After(milliseconds) if milliseconds > 0 && self.may_push_back() => Some(milliseconds),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether it asks for something that can't be read.
+    /// Whether one of the signals cannot be parsed.
     pub fn is_unreadable(&self) -> bool {
         let retry_after = self.may_push_back() && self.retry_after == RetryAfter::Unreadable;
         retry_after || self.leaving == LeavingMark::Unreadable || self.limit == NamedLimit::Unreadable
--- a/crates/routing/src/pushback/table.rs
+++ b/crates/routing/src/pushback/table.rs
@@ -1,207 +1,209 @@
-//! The servers that one daemon holds back.
+//! The servers that one daemon currently holds back.
 
 use crate::Millis;
 use dockwood_api::gateway::ServerStart;
 use std::collections::BTreeMap;
 
-/// Servers that are kept in mind. Beyond, the one that was noted first is forgotten: three times the servers of the largest
-/// fleet planned for, so that this takes servers that were replaced long ago.
-const MOST_HELD: usize = 4_096;
-/// When a request that finds the first one after a rest still on its way should look again, in milliseconds: some answers are
-/// there by then, and few are lost by the wait.
-const TRIAL_LOOK_MS: Millis = 20;
+/// Maximum number of servers in the table; beyond it, the one recorded first is evicted. This is three times
+/// the number of servers in the largest planned fleet, so that only servers replaced long ago are evicted.
+const MAX_HELD_SERVERS: usize = 4_096;
+/// When a request that finds a probe in flight checks again, in milliseconds: some probes are answered by
+/// then, and few requests are lost because of the wait.
+const PROBE_RECHECK_MS: Millis = 20;
 
-/// Why a server is sent nothing now.
+/// Why nothing is sent to a server at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// It asked for rest.
+    /// The server asked for a backoff period.
     Resting {
-        /// When that ends.
+        /// End of the period.
         until: Millis,
     },
-    /// Its rest is over, and the first request after it has had no answer yet.
-    OnTrial {
-        /// When to look again.
+    /// The backoff period is over, and the probe request after it has not been answered yet.
+    Probing {
+        /// When to check again.
         until: Millis,
     },
-    /// It gets as many requests as it said it takes.
+    /// The server is receiving as many requests as its limit allows.
     AtLimit {
-        /// When it may be asked again.
+        /// When a turn may be requested again.
         until: Millis,
     },
-    /// It has said that it leaves.
+    /// The server has announced that it is leaving.
     Leaving,
 }
 
 impl Hold {
-    /// When it may end, if it does.
+    /// When the hold may end; `None` if it does not end by itself.
     pub fn until(self) -> Option<Millis> {
         match self {
-            Hold::Resting { until } | Hold::OnTrial { until } | Hold::AtLimit { until } => Some(until),
+            Hold::Resting { until } | Hold::Probing { until } | Hold::AtLimit { until } => Some(until),
             Hold::Leaving => None,
         }
     }
 }
 
-/// A request that may be sent.
+/// Kind of a request that may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendKind {
-    /// As any other.
+    /// A regular request.
     Usual,
-    /// As the first one after a rest: no other goes to the server meanwhile.
+    /// A probe after a backoff period: no other request is sent to the server while it is in flight.
     Trial,
 }
 
-/// A server asked for rest that was not resting.
+/// A backoff period has started for a server that was not backing off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RestBegun {
-    /// When it ends.
+pub struct BackoffStarted {
+    /// End of the period.
     pub until: Millis,
 }
 
-/// How far a rest is.
+/// State of a backoff period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Rest {
+struct Backoff {
     until: Millis,
-    on_trial: bool,
+    probing: bool,
 }
 
-/// One server that is held back.
+/// A server that is held back.
 #[derive(Clone, Debug)]
 struct HeldServer {
     started_ms: Option<u64>,
-    rest: Option<Rest>,
-    leaves: bool,
-    /// Its place in the order in which servers were noted.
-    noted: u64,
+    backoff: Option<Backoff>,
+    is_leaving: bool,
+    /// Position in the order in which servers were recorded.
+    sequence: u64,
 }
 
 impl HeldServer {
-    fn is(&self, server: &ServerStart) -> bool {
+    fn is_same_start(&self, server: &ServerStart) -> bool {
         self.started_ms == server.started_ms
     }
 
     fn hold(&self, now: Millis) -> Option<Hold> {
-        if self.leaves {
+        if self.is_leaving {
             return Some(Hold::Leaving);
         }
-        let rest = self.rest?;
-        if now < rest.until {
-            return Some(Hold::Resting { until: rest.until });
+        let backoff = self.backoff?;
+        if now < backoff.until {
+            return Some(Hold::Resting { until: backoff.until });
         }
-        rest.on_trial.then_some(Hold::OnTrial { until: now + TRIAL_LOOK_MS })
+        backoff.probing.then_some(Hold::Probing { until: now + PROBE_RECHECK_MS })
     }
 }
 
-/// Servers that asked for rest or said that they leave, by id.
+/// Servers that asked for a backoff period or announced that they are leaving, by id.
 #[derive(Clone, Debug, Default)]
 pub struct PushbackTable {
     servers: BTreeMap<String, HeldServer>,
-    noted: u64,
+    sequence: u64,
 }
 
 impl PushbackTable {
-    /// Why a server is sent nothing now; `None` if it may be sent a request.
+    /// Why nothing may be sent to the server at present; `None` if a request may be sent.
     pub fn hold(&self, now: Millis, server: &ServerStart) -> Option<Hold> {
-        self.servers.get(&server.id).filter(|held| held.is(server))?.hold(now)
+        self.servers.get(&server.id).filter(|held| held.is_same_start(server))?.hold(now)
     }
 
-    /// Whether no server is kept in mind.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Begins to send a request, if the server takes one. To be asked at the moment of writing, and followed by
-    /// [`PushbackTable::trial_ended`] if it is a trial.
+    /// Starts sending a request, if the server accepts one. Call this immediately before writing the request,
+    /// and call [`PushbackTable::trial_ended`] afterwards if it is a probe.
     pub fn begin_send(&mut self, now: Millis, server: &ServerStart) -> Result<SendKind, Hold> {
         if let Some(hold) = self.hold(now, server) {
             return Err(hold);
         }
-        let held = self.servers.get_mut(&server.id).filter(|held| held.is(server));
-        let Some(rest) = held.and_then(|held| held.rest.as_mut()) else { return Ok(SendKind::Usual) };
-        rest.on_trial = true;
+        let held = self.servers.get_mut(&server.id).filter(|held| held.is_same_start(server));
+        let Some(backoff) = held.and_then(|held| held.backoff.as_mut()) else { return Ok(SendKind::Usual) };
+        backoff.probing = true;
         Ok(SendKind::Trial)
     }
 
-    /// Takes the end of a trial: `accepted` if the server answered it and asked for no more rest. True if its rest is over
-    /// by that; else the next request is another trial.
+    /// Records the end of a probe. `accepted`: the server answered and asked for no further backoff. Returns
+    /// true if this ends the backoff; otherwise the next request is another probe.
     pub fn trial_ended(&mut self, now: Millis, server: &ServerStart, accepted: bool) -> bool {
-        let Some(held) = self.servers.get_mut(&server.id).filter(|held| held.is(server)) else {
+        let Some(held) = self.servers.get_mut(&server.id).filter(|held| held.is_same_start(server)) else {
             return false;
         };
-        let Some(rest) = held.rest.as_mut() else { return false };
-        rest.on_trial = false;
-        // Another answer may have asked for more meanwhile.
-        let is_over = accepted && now >= rest.until;
-        if is_over {
-            held.rest = None;
-            self.forget_if_free(&server.id);
+        let Some(backoff) = held.backoff.as_mut() else { return false };
+        backoff.probing = false;
+        // Another answer may have extended the backoff meanwhile.
+        let has_ended = accepted && now >= backoff.until;
+        if has_ended {
+            held.backoff = None;
+            self.remove_if_unrestricted(&server.id);
         }
-        is_over
+        has_ended
     }
 
-    /// Notes that a server wants nothing for `rest_ms`; it is held back for `spread_ms` more, which differs from daemon to
-    /// daemon. A shorter rest does not end a longer one. Returns the rest if none was under way.
+    /// Records that a server asked for a backoff of `backoff_ms`. It is held for `spread_ms` more, which
+    /// differs between daemons. A shorter period does not end a longer one. Returns the period if none was in
+    /// progress.
     pub fn note_rest(
         &mut self,
         now: Millis,
         server: &ServerStart,
-        rest_ms: Millis,
+        backoff_ms: Millis,
         spread_ms: Millis,
-    ) -> Option<RestBegun> {
-        let until = now.saturating_add(rest_ms).saturating_add(spread_ms);
-        let held = self.held(server);
-        let was_resting = held.rest.is_some_and(|rest| now < rest.until);
-        let longest = held.rest.map_or(until, |rest| rest.until.max(until));
-        held.rest = Some(Rest { until: longest, on_trial: false });
-        (!was_resting).then_some(RestBegun { until: longest })
+    ) -> Option<BackoffStarted> {
+        let until = now.saturating_add(backoff_ms).saturating_add(spread_ms);
+        let held = self.find_or_insert(server);
+        let was_backing_off = held.backoff.is_some_and(|backoff| now < backoff.until);
+        let longest = held.backoff.map_or(until, |backoff| backoff.until.max(until));
+        held.backoff = Some(Backoff { until: longest, probing: false });
+        (!was_backing_off).then_some(BackoffStarted { until: longest })
     }
 
-    /// Notes that a server leaves; true if that was not known.
+    /// Records that a server is leaving; true if this was not known before.
     pub fn note_leaving(&mut self, server: &ServerStart) -> bool {
-        !std::mem::replace(&mut self.held(server).leaves, true)
+        !std::mem::replace(&mut self.find_or_insert(server).is_leaving, true)
     }
 
-    /// Servers that rest now, and servers that leave.
+    /// Number of servers that are backing off, and of servers that are leaving.
     pub fn counts(&self, now: Millis) -> (usize, usize) {
-        let resting = |held: &&HeldServer| !held.leaves && held.hold(now).is_some();
-        let leaving = self.servers.values().filter(|held| held.leaves).count();
-        (self.servers.values().filter(resting).count(), leaving)
+        let backing_off = |held: &&HeldServer| !held.is_leaving && held.hold(now).is_some();
+        let leaving = self.servers.values().filter(|held| held.is_leaving).count();
+        (self.servers.values().filter(backing_off).count(), leaving)
     }
 
-    /// Forgets servers that are gone and whose rest is over. What is left of a rest counts also for a server that is not
-    /// known at the moment: a group may end and its head lead another one.
+    /// Removes servers that no longer exist and whose backoff is over. The rest of a backoff period also
+    /// applies to a server that is currently unknown: a group may end and its head lead another group later.
     pub fn retain_known(&mut self, now: Millis, is_known: impl Fn(&str) -> bool) {
         self.servers.retain(|id, held| held.hold(now).is_some() || is_known(id));
     }
 
-    fn held(&mut self, server: &ServerStart) -> &mut HeldServer {
-        if !self.servers.contains_key(&server.id) && self.servers.len() >= MOST_HELD {
-            let oldest = self.servers.iter().min_by_key(|(_, held)| held.noted).map(|(id, _)| id.clone());
+    fn find_or_insert(&mut self, server: &ServerStart) -> &mut HeldServer {
+        if !self.servers.contains_key(&server.id) && self.servers.len() >= MAX_HELD_SERVERS {
+            let oldest = self.servers.iter().min_by_key(|(_, held)| held.sequence).map(|(id, _)| id.clone());
             oldest.into_iter().for_each(|id| {
                 self.servers.remove(&id);
             });
         }
-        self.noted += 1;
-        let noted = self.noted;
-        let new = || HeldServer { started_ms: server.started_ms, rest: None, leaves: false, noted };
+        self.sequence += 1;
+        let sequence = self.sequence;
+        let new = || HeldServer { started_ms: server.started_ms, backoff: None, is_leaving: false, sequence };
         let held = self.servers.entry(server.id.clone()).or_insert_with(new);
-        if !held.is(server) {
+        if !held.is_same_start(server) {
             *held = new();
         }
         held
     }
 
-    fn forget_if_free(&mut self, id: &str) {
-        if self.servers.get(id).is_some_and(|held| held.rest.is_none() && !held.leaves) {
+    fn remove_if_unrestricted(&mut self, id: &str) {
+        if self.servers.get(id).is_some_and(|held| held.backoff.is_none() && !held.is_leaving) {
             self.servers.remove(id);
         }
     }
 }
 
-/// Over what time the daemons that send to one server should come back to it, in milliseconds: so that in each second no more
-/// come than it has places, and no longer than it asked for.
-pub fn return_spread_ms(rest_ms: Millis, daemons: u32, places: u32) -> Millis {
+/// Period over which the daemons that send to a server spread their return to it, in milliseconds. It is long
+/// enough for no more daemons to return per second than the server has places, and no longer than the backoff
+/// itself.
+pub fn return_spread_ms(backoff_ms: Millis, daemons: u32, places: u32) -> Millis {
     const SECOND_MS: Millis = 1_000;
-    rest_ms.min(Millis::from(daemons) * SECOND_MS / Millis::from(places.max(1)))
+    backoff_ms.min(Millis::from(daemons) * SECOND_MS / Millis::from(places.max(1)))
 }
--- a/crates/routing/src/pushback/turns.rs
+++ b/crates/routing/src/pushback/turns.rs
@@ -1,5 +1,5 @@
-//! Shares out what servers take that named a limit. One daemon does so for each server: it gives one sender after the other
-//! leave to send a request, evenly spaced (a token bucket), so that the sum over all senders keeps to the rate however many
+//! Allocates the rate of servers that have declared a limit. For each server, one daemon grants turns to send
+//! a request, evenly spaced (a token bucket), so that all senders together keep to the rate, however many
 //! there are.
 
 use crate::Millis;
@@ -7,53 +7,56 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
-/// Thousandths of a request, times microseconds, in one request a second.
+/// Microseconds per second times thousandths per request: divided by a rate in thousandths of a request per
+/// second, this gives the interval in microseconds.
 const MICROSECOND_THOUSANDTHS: u64 = 1_000_000_000;
-/// Longest time between two requests to a server, however little it takes, in milliseconds: one that gets nothing can't say
-/// that it takes more again.
-const LONGEST_INTERVAL_MS: Millis = 10_000;
-/// A request may come this much earlier than evenly spaced, at most, in milliseconds: what was not asked for in time is not
-/// lost at once. No more than the time between two requests.
-const MOST_EARLY_MS: Millis = 1_000;
-/// Senders that are told to come back within one interval: some find by then that they have nothing to send.
-const ASKERS_PER_TURN: u64 = 4;
-/// Longest time for which a sender is told to wait, in milliseconds.
-const LONGEST_WAIT_MS: Millis = 15_000;
-/// For how long after it should have come back a turn is kept for a request that is more urgent, in milliseconds.
-const KEPT_FOR_URGENT_MS: Millis = 50;
-/// What was given is counted over this long, in milliseconds.
-const COUNTED_MS: Millis = 4_000;
-/// A server that nobody asked for in this time is forgotten, in milliseconds.
-const FORGOTTEN_AFTER_MS: Millis = 60_000;
-
-/// Time between two requests at a rate, in milliseconds.
+/// Maximum interval between two requests to a server, however low its rate, in milliseconds. A server that
+/// receives no requests cannot announce a higher rate.
+const MAX_INTERVAL_MS: Millis = 10_000;
+/// Maximum time by which a request may be ahead of even spacing, in milliseconds, so that turns that were not
+/// requested in time are not lost at once. It never exceeds the interval between two requests.
+const MAX_EARLY_MS: Millis = 1_000;
+/// Number of senders that are told to retry within one interval: some of them have nothing left to send by
+/// then.
+const SENDERS_PER_INTERVAL: u64 = 4;
+/// Maximum time that a sender is told to wait, in milliseconds.
+const MAX_WAIT_MS: Millis = 15_000;
+/// How long a turn is reserved for a more urgent request after the time at which its sender was told to
+/// retry, in milliseconds.
+const RESERVATION_MS: Millis = 50;
+/// Window over which granted turns are counted, in milliseconds.
+const COUNT_WINDOW_MS: Millis = 4_000;
+/// A server for which no turn is requested for this long is removed, in milliseconds.
+const IDLE_EXPIRY_MS: Millis = 60_000;
+
+/// Interval between two requests at this rate, in milliseconds.
 pub fn interval_ms(rate: RequestRate) -> Millis {
     (interval_us(rate) / MICROSECONDS_PER_MILLISECOND).max(1)
 }
 
-/// The same in microseconds: whole milliseconds are too coarse for hundreds of requests a second.
+/// The interval in microseconds: milliseconds are too coarse for hundreds of requests per second.
 fn interval_us(rate: RequestRate) -> u64 {
-    let longest = LONGEST_INTERVAL_MS * MICROSECONDS_PER_MILLISECOND;
+    let max_interval = MAX_INTERVAL_MS * MICROSECONDS_PER_MILLISECOND;
     let interval = MICROSECOND_THOUSANDTHS.checked_div(rate.thousandths());
-    interval.map_or(longest, |interval| interval.clamp(1, longest))
+    interval.map_or(max_interval, |interval| interval.clamp(1, max_interval))
 }
 
-/// The part of a rate that is shared out here.
+/// The part of a rate that this daemon allocates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnShare {
-    /// All of it.
+    /// The whole rate.
     Whole,
-    /// Half of it: in place of another daemon, which may be sharing out the same rate still.
+    /// Half of the rate: this daemon stands in for another one, which may still be allocating the same rate.
     InPlaceOfAnother,
-    /// What is left to one of so many senders that nobody gives leave to: all of them together take half.
+    /// The share of one sender when no daemon grants turns: all senders together use half of the rate.
     Alone {
-        /// Senders in the fleet.
+        /// Number of senders in the fleet.
         senders: u32,
     },
 }
 
 impl TurnShare {
-    /// By how much the time between two requests grows.
+    /// Factor by which the interval between two requests grows.
     fn factor(self) -> u64 {
         match self {
             TurnShare::Whole => 1,
@@ -63,128 +66,131 @@
     }
 }
 
-/// The answer to a sender.
+/// Answer to a request for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It may send a request now.
+    /// The request may be sent now.
     Given,
-    /// Not before this time.
+    /// Request a turn again, but not before this time.
     NotBefore(Millis),
 }
 
-/// A sender with an urgent request that was told to come back.
+/// A turn reserved for a sender with an urgent request that was told to retry.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct Reservation {
     rank: u32,
     at: Millis,
 }
 
-/// One server's turns.
+/// Schedule of the turns for one server.
 #[derive(Clone, Debug)]
-struct Turns {
+struct TurnSchedule {
     started_ms: Option<u64>,
-    /// When the next request would be due if all were evenly spaced, in microseconds.
-    due_us: u64,
-    /// Time between two requests when it was last asked for, in microseconds.
+    /// When the next request is due under even spacing, in microseconds.
+    next_due_us: u64,
+    /// Interval between two requests at the last requested rate, in microseconds.
     interval_us: u64,
-    /// When the last of the senders that were told to come back is to do so, in microseconds.
-    last_back_us: u64,
-    wanted: Option<Wanted>,
-    given: VecDeque<Millis>,
-    asked_at: Millis,
-    told_at: Millis,
+    /// The latest time at which a waiting sender was told to retry, in microseconds.
+    last_retry_us: u64,
+    reservation: Option<Reservation>,
+    granted: VecDeque<Millis>,
+    last_requested_at: Millis,
+    last_reported_at: Millis,
 }
 
-/// How far apart a server's turns are.
+/// Spacing of a server's turns.
 #[derive(Clone, Copy, Debug)]
 struct Spacing {
-    /// Time between two requests that the server takes, in microseconds.
+    /// Interval between two requests that the server accepts, in microseconds.
     interval_us: u64,
-    /// Time between two of those that are given here, in microseconds.
-    own_us: u64,
+    /// Interval between two turns that this daemon grants, in microseconds.
+    grant_interval_us: u64,
 }
 
 impl Spacing {
     fn of(rate: RequestRate, share: TurnShare) -> Spacing {
         let interval_us = interval_us(rate);
-        Spacing { interval_us, own_us: interval_us * share.factor() }
+        Spacing { interval_us, grant_interval_us: interval_us * share.factor() }
     }
 
-    /// By how much a request may come early, in microseconds.
-    fn early_us(self) -> u64 {
-        self.interval_us.min(MOST_EARLY_MS * MICROSECONDS_PER_MILLISECOND)
+    /// Maximum time by which a request may be early, in microseconds.
+    fn max_early_us(self) -> u64 {
+        self.interval_us.min(MAX_EARLY_MS * MICROSECONDS_PER_MILLISECOND)
     }
 
-    /// When the first turn is due: others may have sent requests at this moment.
+    /// When the first turn is due: other daemons may have sent requests at this moment.
     fn first_due_us(self, now: Millis) -> u64 {
-        now * MICROSECONDS_PER_MILLISECOND + self.own_us + self.early_us()
+        now * MICROSECONDS_PER_MILLISECOND + self.grant_interval_us + self.max_early_us()
     }
 }
 
-impl Turns {
-    fn new(started_ms: Option<u64>, now: Millis, spacing: Spacing) -> Turns {
-        Turns {
+impl TurnSchedule {
+    fn new(started_ms: Option<u64>, now: Millis, spacing: Spacing) -> TurnSchedule {
+        TurnSchedule {
             started_ms,
-            due_us: spacing.first_due_us(now),
+            next_due_us: spacing.first_due_us(now),
             interval_us: spacing.interval_us,
-            last_back_us: 0,
-            wanted: None,
-            given: VecDeque::new(),
-            asked_at: now,
-            told_at: now,
+            last_retry_us: 0,
+            reservation: None,
+            granted: VecDeque::new(),
+            last_requested_at: now,
+            last_reported_at: now,
         }
     }
 
     fn take(&mut self, now: Millis, spacing: Spacing, rank: u32) -> Turn {
-        self.asked_at = now;
-        // A rate that has risen is not kept from its effect by what was due at the former one.
-        self.due_us = self.due_us.min(spacing.first_due_us(now));
+        self.last_requested_at = now;
+        // If the rate has risen, the due time computed for the lower rate no longer applies.
+        self.next_due_us = self.next_due_us.min(spacing.first_due_us(now));
         if spacing.interval_us < self.interval_us {
-            self.last_back_us = 0;
+            self.last_retry_us = 0;
         }
         self.interval_us = spacing.interval_us;
-        let free_at = self.due_us.saturating_sub(spacing.early_us()).div_ceil(MICROSECONDS_PER_MILLISECOND);
-        if now < free_at || self.is_kept_from(now, rank) {
-            return self.wait(now, free_at, rank);
+        let available_at =
+            self.next_due_us.saturating_sub(spacing.max_early_us()).div_ceil(MICROSECONDS_PER_MILLISECOND);
+        if now < available_at || self.is_reserved_from(now, rank) {
+            return self.schedule_retry(now, available_at, rank);
         }
-        self.due_us = self.due_us.max(now * MICROSECONDS_PER_MILLISECOND) + spacing.own_us;
-        self.wanted = self.wanted.filter(|wanted| wanted.rank < rank);
-        self.given.push_back(now);
-        while self.given.front().is_some_and(|at| now >= at + COUNTED_MS) {
-            self.given.pop_front();
+        self.next_due_us =
+            self.next_due_us.max(now * MICROSECONDS_PER_MILLISECOND) + spacing.grant_interval_us;
+        self.reservation = self.reservation.filter(|reservation| reservation.rank < rank);
+        self.granted.push_back(now);
+        while self.granted.front().is_some_and(|at| now >= at + COUNT_WINDOW_MS) {
+            self.granted.pop_front();
         }
         Turn::Given
     }
 
-    /// Whether the next turn is kept for a request that is more urgent.
-    fn is_kept_from(&self, now: Millis, rank: u32) -> bool {
-        self.wanted.is_some_and(|wanted| wanted.rank < rank && now < wanted.at + KEPT_FOR_URGENT_MS)
+    /// Whether the next turn is reserved for a more urgent request.
+    fn is_reserved_from(&self, now: Millis, rank: u32) -> bool {
+        self.reservation
+            .is_some_and(|reservation| reservation.rank < rank && now < reservation.at + RESERVATION_MS)
     }
 
-    /// Tells a sender when to come back: some senders to each turn, one after the other.
-    fn wait(&mut self, now: Millis, free_at: Millis, rank: u32) -> Turn {
-        let after_last_us = self.last_back_us + self.interval_us / ASKERS_PER_TURN;
-        let at =
-            (after_last_us / MICROSECONDS_PER_MILLISECOND).clamp(free_at, free_at.max(now + LONGEST_WAIT_MS));
+    /// Tells a sender when to retry; retries are spread out, with a few senders per turn.
+    fn schedule_retry(&mut self, now: Millis, available_at: Millis, rank: u32) -> Turn {
+        let after_last_us = self.last_retry_us + self.interval_us / SENDERS_PER_INTERVAL;
+        let at = (after_last_us / MICROSECONDS_PER_MILLISECOND)
+            .clamp(available_at, available_at.max(now + MAX_WAIT_MS));
         let at = at.max(now + 1);
         let at_us = at * MICROSECONDS_PER_MILLISECOND;
-        self.last_back_us = after_last_us.clamp(at_us, at_us + MICROSECONDS_PER_MILLISECOND);
-        let is_forgone = |wanted: Wanted| wanted.at + KEPT_FOR_URGENT_MS < now;
-        if self.wanted.is_none_or(|wanted| rank < wanted.rank || is_forgone(wanted)) {
-            self.wanted = Some(Wanted { rank, at });
+        self.last_retry_us = after_last_us.clamp(at_us, at_us + MICROSECONDS_PER_MILLISECOND);
+        let has_lapsed = |reservation: Reservation| reservation.at + RESERVATION_MS < now;
+        if self.reservation.is_none_or(|reservation| rank < reservation.rank || has_lapsed(reservation)) {
+            self.reservation = Some(Reservation { rank, at });
         }
         Turn::NotBefore(at)
     }
 }
 
-/// The servers whose limits are shared out here.
+/// Schedules of the servers whose limits this daemon allocates.
 #[derive(Clone, Debug, Default)]
 pub struct TurnBook {
-    servers: BTreeMap<String, Turns>,
+    servers: BTreeMap<String, TurnSchedule>,
 }
 
 impl TurnBook {
-    /// A sender asks to send a request of some rank to a server now, which takes requests at this rate.
+    /// Requests a turn to send a request of this rank to a server now; `rate` is the server's rate.
     pub fn take(
         &mut self,
         now: Millis,
@@ -194,23 +200,26 @@
         rank: u32,
     ) -> Turn {
         let spacing = Spacing::of(rate, share);
-        let new = || Turns::new(server.started_ms, now, spacing);
-        let turns = self.servers.entry(server.id.clone()).or_insert_with(new);
-        if turns.started_ms != server.started_ms {
-            *turns = new();
+        let new = || TurnSchedule::new(server.started_ms, now, spacing);
+        let schedule = self.servers.entry(server.id.clone()).or_insert_with(new);
+        if schedule.started_ms != server.started_ms {
+            *schedule = new();
         }
-        turns.take(now, spacing, rank)
+        schedule.take(now, spacing, rank)
     }
 
-    /// How many turns a server's senders got lately, if that was not told lately.
+    /// Number of turns recently granted for a server, unless it was reported recently.
     pub fn claim_telling(&mut self, now: Millis, server: &ServerStart) -> Option<usize> {
-        let turns = self.servers.get_mut(&server.id).filter(|turns| now >= turns.told_at + COUNTED_MS)?;
-        turns.told_at = now;
-        Some(turns.given.iter().filter(|at| now < **at + COUNTED_MS).count())
+        let schedule = self
+            .servers
+            .get_mut(&server.id)
+            .filter(|schedule| now >= schedule.last_reported_at + COUNT_WINDOW_MS)?;
+        schedule.last_reported_at = now;
+        Some(schedule.granted.iter().filter(|at| now < **at + COUNT_WINDOW_MS).count())
     }
 
-    /// Forgets servers that nobody asked for lately.
+    /// Removes servers for which no turn was requested recently.
     pub fn forget_old(&mut self, now: Millis) {
-        self.servers.retain(|_, turns| now < turns.asked_at + FORGOTTEN_AFTER_MS);
+        self.servers.retain(|_, schedule| now < schedule.last_requested_at + IDLE_EXPIRY_MS);
     }
 }
--- a/crates/routing/tests/signals.rs
+++ b/crates/routing/tests/signals.rs
@@ -1,4 +1,4 @@
-//! What answers ask of whoever gets them: every form of `Retry-After`, and the mark of a server that leaves.
+//! Signals in answers: all forms of `Retry-After`, the leaving header, and the limit header.
 
 use dockwood_routing::pushback::{AnswerSignals, LeavingMark, NamedLimit, RequestRate, RetryAfter};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -18,17 +18,17 @@
     whole_seconds = { &["3"], RetryAfter::After(3_000) },
     fraction = { &["0.25"], RetryAfter::After(250) },
     below_a_millisecond_is_one = { &["0.0001"], RetryAfter::After(1) },
-    blanks_around = { &[" 2 "], RetryAfter::After(2_000) },
+    surrounding_whitespace = { &[" 2 "], RetryAfter::After(2_000) },
     zero = { &["0"], RetryAfter::After(0) },
     a_year = { &["31536000"], RetryAfter::After(31_536_000_000) },
-    beyond_all_time = { &["9999999999999999999999999999"], RetryAfter::After(u64::MAX) },
+    above_maximum = { &["9999999999999999999999999999"], RetryAfter::After(u64::MAX) },
     negative = { &["-1"], RetryAfter::Unreadable },
     sign = { &["+1"], RetryAfter::Unreadable },
     exponent = { &["1e3"], RetryAfter::Unreadable },
     not_a_number = { &["NaN"], RetryAfter::Unreadable },
     infinite = { &["inf"], RetryAfter::Unreadable },
-    two_points = { &["1.2.3"], RetryAfter::Unreadable },
-    a_point_alone = { &["."], RetryAfter::Unreadable },
+    two_decimal_points = { &["1.2.3"], RetryAfter::Unreadable },
+    lone_decimal_point = { &["."], RetryAfter::Unreadable },
     empty = { &[""], RetryAfter::Unreadable },
     unit = { &["3s"], RetryAfter::Unreadable },
     word = { &["soon"], RetryAfter::Unreadable },
@@ -37,12 +37,12 @@
     several = { &["1", "4", "2"], RetryAfter::After(4_000) },
     one_of_several_unreadable = { &["soon", "2"], RetryAfter::After(2_000) },
 )]
-fn a_time_to_come_back_is_read(values: &[&str], expected: RetryAfter) {
+fn retry_after_is_parsed(values: &[&str], expected: RetryAfter) {
     assert_eq!(retry_after(values), expected);
 }
 
 #[test]
-fn bytes_that_are_no_text_are_unreadable() {
+fn non_text_bytes_are_unreadable() {
     let bytes: [&[u8]; 1] = [&[0xff, 0xfe]];
     assert_eq!(RetryAfter::read(bytes.into_iter(), now()), RetryAfter::Unreadable);
 }
@@ -50,7 +50,7 @@
 #[parameterized(
     none = { &[], LeavingMark::Absent },
     leaves = { &["1"], LeavingMark::Leaving },
-    blanks_around = { &[" 1 "], LeavingMark::Leaving },
+    surrounding_whitespace = { &[" 1 "], LeavingMark::Leaving },
     does_not_leave = { &["0"], LeavingMark::Absent },
     twice = { &["1", "1"], LeavingMark::Leaving },
     contradiction = { &["0", "1"], LeavingMark::Leaving },
@@ -58,7 +58,7 @@
     another_number = { &["2"], LeavingMark::Unreadable },
     empty = { &[""], LeavingMark::Unreadable },
 )]
-fn a_server_that_leaves_is_told_by_its_mark(values: &[&str], expected: LeavingMark) {
+fn leaving_header_is_parsed(values: &[&str], expected: LeavingMark) {
     assert_eq!(LeavingMark::read(values.iter().map(|value| value.as_bytes())), expected);
 }
 
@@ -67,12 +67,12 @@
     too_many_requests = { 429, RetryAfter::After(3_000), Some(3_000), false },
     redirection = { 301, RetryAfter::After(3_000), None, false },
     success = { 200, RetryAfter::After(3_000), None, false },
-    no_time_at_all = { 503, RetryAfter::After(0), None, false },
-    nothing_asked = { 503, RetryAfter::Absent, None, false },
+    zero_delay = { 503, RetryAfter::After(0), None, false },
+    absent = { 503, RetryAfter::Absent, None, false },
     unreadable = { 503, RetryAfter::Unreadable, None, true },
-    unreadable_where_it_means_nothing = { 200, RetryAfter::Unreadable, None, false },
+    unreadable_without_meaning = { 200, RetryAfter::Unreadable, None, false },
 )]
-fn rest_is_asked_for_by_rejections_alone(
+fn only_rejections_ask_for_backoff(
     status: u16,
     retry_after: RetryAfter,
     pushback_ms: Option<u64>,
@@ -92,10 +92,10 @@
     none = { &[], NamedLimit::Absent },
     whole = { &["3"], rate(3_000) },
     fraction = { &["2.5"], rate(2_500) },
-    blanks_around = { &[" 0.1 "], rate(100) },
+    surrounding_whitespace = { &[" 0.1 "], rate(100) },
     nothing = { &["0"], rate(0) },
     below_a_thousandth = { &["0.0001"], rate(0) },
-    beyond_all_rates = { &["99999999999999"], rate(100_000_000) },
+    above_maximum = { &["99999999999999"], rate(100_000_000) },
     negative = { &["-1"], NamedLimit::Unreadable },
     infinite = { &["inf"], NamedLimit::Unreadable },
     exponent = { &["1e9"], NamedLimit::Unreadable },
@@ -106,6 +106,6 @@
     one_of_several_unreadable = { &["few", "2"], rate(2_000) },
     the_last_of_several_unreadable = { &["2", "few"], rate(2_000) },
 )]
-fn a_limit_is_read(values: &[&str], expected: NamedLimit) {
+fn limit_header_is_parsed(values: &[&str], expected: NamedLimit) {
     assert_eq!(NamedLimit::read(values.iter().map(|value| value.as_bytes())), expected);
 }
