--- a/crates/placement/src/fleet.rs
+++ b/crates/placement/src/fleet.rs
@@ -1,155 +1,162 @@
-//! What the checkers look at: the replicated tables and what has been observed of the machines.
+//! Input of the checkers: the replicated tables and the observations of the machines.
 
 use crate::Millis;
 use dockwood_api::peer::MachineState;
 use dockwood_state::Tables;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A refused connection must last this long: a restart of an engine is no failure of the machine if it is
-/// shorter, and one probe may hit a full backlog.
-const REFUSING_DEAD_MS: Millis = 600;
-/// Silence must last this long. Shorter pauses are waited out, because loading weights takes longer still.
-const SILENT_DEAD_MS: Millis = 3_000;
+/// A machine is dead after its connections have been refused for this long. A shorter engine restart is not a
+/// machine failure, and a single probe may hit a full backlog.
+const REFUSING_DEAD_AFTER_MS: Millis = 600;
+/// A machine is dead after it has been silent for this long. Shorter pauses are tolerated, because loading
+/// weights elsewhere takes longer.
+const SILENT_DEAD_AFTER_MS: Millis = 3_000;
 /// A machine must have answered for this long before it is used again.
-const STABLE_MS: Millis = 2_000;
-/// Each failure within [`FLAP_MEMORY_MS`] doubles the time a machine must be stable, up to this factor.
+const MIN_STABLE_MS: Millis = 2_000;
+/// Each failure within [`FLAP_MEMORY_MS`] doubles the required time, up to a factor of two to this power.
 const MAX_FLAP_FACTOR_SHIFT: u32 = 6;
-/// Failures are forgotten after this long without one.
+/// Failures are forgotten after this long without a new one.
 const FLAP_MEMORY_MS: Millis = 600_000;
 
-/// How placement may treat a machine.
+/// Health of a machine as used by placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineHealth {
-    /// It answers, and has for long enough.
+    /// It has been answering for long enough.
     Usable,
-    /// It answers, but came back only now; not used for anything new.
+    /// It answers, but has returned only recently; not used for new replicas.
     Recovering,
-    /// It fails to answer, not yet for long enough to act on.
+    /// It does not answer, but not yet for long enough to act on.
     Suspect,
-    /// It failed.
+    /// It has failed.
     Dead,
-    /// It answers and is about to be taken away.
+    /// It answers, but the platform is about to remove it.
     Leaving,
-    /// Nothing is known yet.
+    /// There is no report on it yet.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Row {
+struct Observation {
     state: MachineState,
-    /// When the machine began to answer, or ceased to.
-    since: Millis,
+    /// When the machine started or stopped answering.
+    changed_at: Millis,
     failures: u32,
     failed_at: Millis,
 }
 
-/// What probers have reported on each machine.
+/// Reports of the probers on each machine.
 #[derive(Clone, Debug, Default)]
 pub struct MachineObservations {
-    rows: BTreeMap<String, Row>,
+    observations: BTreeMap<String, Observation>,
     leaving: BTreeSet<String>,
 }
 
-fn answers(state: &MachineState) -> bool {
+fn is_alive(state: &MachineState) -> bool {
     matches!(state, MachineState::Alive { .. })
 }
 
 impl MachineObservations {
-    /// Takes a report. The first one on a machine counts as if it had been so for long.
+    /// Records a report. The first report on a machine is treated as if its state had lasted for the required
+    /// time.
     pub fn record(&mut self, now: Millis, server: &str, state: MachineState) {
-        let Some(row) = self.rows.get_mut(server) else {
-            let since = now.saturating_sub(STABLE_MS);
-            self.rows.insert(server.to_string(), Row { state, since, failures: 0, failed_at: 0 });
+        let Some(observation) = self.observations.get_mut(server) else {
+            let changed_at = now.saturating_sub(MIN_STABLE_MS);
+            self.observations
+                .insert(server.to_string(), Observation { state, changed_at, failures: 0, failed_at: 0 });
             return;
         };
-        let changed = answers(&row.state) != answers(&state);
+        let changed = is_alive(&observation.state) != is_alive(&state);
         if changed {
-            row.since = now;
+            observation.changed_at = now;
         }
-        if changed && !answers(&state) {
-            let forgotten = now > row.failed_at + FLAP_MEMORY_MS;
-            row.failures = if forgotten { 1 } else { row.failures + 1 };
-            row.failed_at = now;
+        if changed && !is_alive(&state) {
+            let failures_expired = now > observation.failed_at + FLAP_MEMORY_MS;
+            observation.failures = if failures_expired { 1 } else { observation.failures + 1 };
+            observation.failed_at = now;
         }
-        row.state = state;
+        observation.state = state;
     }
 
-    /// Takes the platform's word on which machines it will take away.
+    /// Sets the machines that the platform is about to remove.
     pub fn set_leaving(&mut self, leaving: BTreeSet<String>) {
         self.leaving = leaving;
     }
 
-    /// The newest report on a machine.
+    /// State of a machine according to the newest report.
     pub fn state(&self, server: &str) -> Option<MachineState> {
-        self.rows.get(server).map(|row| row.state)
+        self.observations.get(server).map(|observation| observation.state)
     }
 
-    /// Forgets machines that `keep` does not name.
+    /// Removes the machines for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.rows.retain(|server, _| keep(server));
+        self.observations.retain(|server, _| keep(server));
     }
 
-    /// How placement may treat a machine now.
+    /// Current health of a machine.
     pub fn health(&self, now: Millis, server: &str) -> MachineHealth {
-        let Some(row) = self.rows.get(server) else { return MachineHealth::Unknown };
-        let lasted = now.saturating_sub(row.since);
-        match row.state {
+        let Some(observation) = self.observations.get(server) else { return MachineHealth::Unknown };
+        let unchanged_for = now.saturating_sub(observation.changed_at);
+        match observation.state {
             MachineState::Alive { .. } if self.leaving.contains(server) => MachineHealth::Leaving,
-            MachineState::Alive { .. } if lasted >= stable_for(row) => MachineHealth::Usable,
+            MachineState::Alive { .. } if unchanged_for >= required_stable_ms(observation) => {
+                MachineHealth::Usable
+            }
             MachineState::Alive { .. } => MachineHealth::Recovering,
-            MachineState::Refusing if lasted >= REFUSING_DEAD_MS => MachineHealth::Dead,
-            MachineState::Silent if lasted >= SILENT_DEAD_MS => MachineHealth::Dead,
+            MachineState::Refusing if unchanged_for >= REFUSING_DEAD_AFTER_MS => MachineHealth::Dead,
+            MachineState::Silent if unchanged_for >= SILENT_DEAD_AFTER_MS => MachineHealth::Dead,
             MachineState::Refusing | MachineState::Silent => MachineHealth::Suspect,
         }
     }
 }
 
-/// Time that a machine must have answered; grows with its recent failures, so that one that flaps isn't used
-/// again and again.
-fn stable_for(row: &Row) -> Millis {
-    STABLE_MS << row.failures.saturating_sub(1).min(MAX_FLAP_FACTOR_SHIFT)
+/// Time for which a machine must have answered. It grows with recent failures, so that a flapping machine is
+/// not used again and again.
+fn required_stable_ms(observation: &Observation) -> Millis {
+    MIN_STABLE_MS << observation.failures.saturating_sub(1).min(MAX_FLAP_FACTOR_SHIFT)
 }
 
-/// How placement decides. All but the default are baselines for measurement.
+/// Placement policy. All policies but the default are baselines for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementPolicy {
-    /// Domains that keep spares first; repair by a spare of the domain.
+    /// Prefers domains that keep a spare machine, and repairs with a spare of the same domain.
     #[default]
     SpareAware,
-    /// The first domain with room, spares or not; repair by a spare where there happens to be one.
+    /// Takes the first domain with enough machines, even if no spare is left, and repairs with a spare if
+    /// there is one.
     FirstFit,
-    /// As the default, but every repair forms the replica anew, with all machines loading again.
+    /// Like the default, but every repair dissolves the replica and forms a new one, so that all its machines
+    /// load again.
     FullReform,
 }
 
-/// Everything the checkers look at.
+/// A consistent view of everything the checkers look at.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet<'a> {
     /// The replicated tables.
     pub tables: &'a Tables,
-    /// What probers report.
+    /// Reports of the probers.
     pub machines: &'a MachineObservations,
-    /// Replicas at epochs that coordinators report as drained.
+    /// Names and epochs of the replicas that coordinators report as drained.
     pub idle_replicas: &'a BTreeSet<(String, u64)>,
-    /// Now.
+    /// Current time.
     pub now: Millis,
-    /// How to decide.
+    /// Policy for decisions.
     pub policy: PlacementPolicy,
 }
 
 impl Fleet<'_> {
-    /// How placement may treat a machine.
+    /// Current health of a machine.
     pub fn health(&self, server: &str) -> MachineHealth {
         self.machines.health(self.now, server)
     }
 
-    /// Whether the operator or the platform wants the machine out of service.
+    /// Whether the operator or the platform is taking the machine out of service.
     pub fn is_leaving(&self, server: &str) -> bool {
         let drained = self.tables.server(server).is_none_or(|spec| spec.drain);
         drained || self.health(server) == MachineHealth::Leaving
     }
 
-    /// Whether a free machine may join a replica now.
+    /// Whether the machine is free and can join a replica now.
     pub fn is_spare(&self, server: &str) -> bool {
         self.tables.is_free(server)
             && !self.is_leaving(server)
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,10 +1,11 @@
-//! Placement: which machines form which replica, what is repaired how, and which daemon has which duty.
+//! Placement: which machines form which replica, how replicas are repaired, and which daemon is assigned to
+//! which pool and replica.
 //!
-//! Each checker looks at the same immutable [`Fleet`] and returns [`Operator`]s, each a command with its reason.
-//! Checkers are pure, call nothing, and rely on the replicated state to refuse what has become untrue by the
-//! time a command is applied.
+//! Each checker reads the same immutable [`Fleet`] and returns [`Operator`]s, each of which is a command with
+//! its reason. Checkers are pure and perform no I/O. A command may be outdated by the time it is applied; the
+//! replicated state machine refuses it then.
 
-mod duties;
+mod assignments;
 mod fleet;
 mod machines;
 mod operator;
@@ -18,17 +19,17 @@
 /// Monotonic time of this process, in milliseconds.
 pub type Millis = u64;
 
-/// All that should be done now, at most one operator for each replica and pool.
+/// Plans all changes that are due now, with at most one operator per replica and pool.
 pub fn plan(fleet: &Fleet<'_>) -> Vec<Operator> {
-    let mut taken = Vec::new();
-    let mut operators = repair::check(fleet, &mut taken);
+    let mut reserved = Vec::new();
+    let mut operators = repair::plan_repairs(fleet, &mut reserved);
     let repaired: Vec<String> = operators.iter().map(|operator| operator.subject.name.clone()).collect();
-    operators.extend(replicas::check(fleet, &repaired, &mut taken));
-    operators.extend(duties::check(fleet));
+    operators.extend(replicas::plan_replicas(fleet, &repaired, &mut reserved));
+    operators.extend(assignments::plan_assignments(fleet));
     operators
 }
 
-/// Deployments that have fewer replicas than declared, and why.
+/// Deployments with fewer replicas than declared, and the reason.
 pub fn shortfalls(fleet: &Fleet<'_>) -> Vec<Shortfall> {
     replicas::shortfalls(fleet)
 }
--- a/crates/placement/src/operator.rs
+++ b/crates/placement/src/operator.rs
@@ -1,28 +1,28 @@
-//! Operators: decisions with their reasons.
+//! Operators: placement decisions with their reasons.
 
 use dockwood_api::event::Subject;
 use dockwood_state::CommandBody;
 
-/// One decision.
+/// A placement decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// The command that carries it out.
+    /// The command that implements the decision.
     pub body: CommandBody,
-    /// What it is about.
+    /// The resource that the event is about.
     pub subject: Subject,
-    /// A short fixed word for the event.
+    /// Reason of the event, from a fixed set of words.
     pub reason: &'static str,
-    /// The account for people.
+    /// Human-readable explanation.
     pub message: String,
 }
 
 impl Operator {
-    /// An operator on a replica.
+    /// Creates an operator for a replica.
     pub fn on_replica(name: &str, reason: &'static str, message: String, body: CommandBody) -> Self {
         Operator { body, subject: Subject::new("replica", name), reason, message }
     }
 
-    /// An operator on a deployment.
+    /// Creates an operator for a deployment.
     pub fn on_deployment(name: &str, reason: &'static str, message: String, body: CommandBody) -> Self {
         Operator { body, subject: Subject::new("deployment", name), reason, message }
     }
--- a/crates/placement/src/replicas.rs
+++ b/crates/placement/src/replicas.rs
@@ -1,9 +1,9 @@
-//! The number and content of each deployment's replicas: forming, scaling, rollouts, and drains of servers.
+//! Number and content of each deployment's replicas: forming, scaling, rollouts, and draining of servers.
 
 use crate::fleet::{Fleet, MachineHealth};
 use crate::machines::{choose_members, spares_by_domain};
 use crate::operator::Operator;
-use crate::repair::{dissolve, refilled};
+use crate::repair::{dissolve, refilled_members};
 use dockwood_api::resource::DeploymentSpec;
 use dockwood_state::{CommandBody, ReplicaPhase, ReplicaRow};
 use std::sync::Arc;
@@ -13,42 +13,43 @@
 pub struct Shortfall {
     /// Deployment resource name.
     pub deployment: String,
-    /// Replicas that are missing.
+    /// Number of missing replicas.
     pub missing: u32,
-    /// Why none can be formed.
+    /// Why they cannot be formed.
     pub message: String,
 }
 
-/// Replicas of one deployment, by what should become of them.
-struct Census<'a> {
-    /// Right content, no machine leaving.
+/// Replicas of one deployment by the action they need.
+struct ReplicasByStatus<'a> {
+    /// Declared content, and no machine is leaving.
     current: Vec<&'a Arc<ReplicaRow>>,
-    /// Wrong content, or a machine that leaves.
+    /// Outdated content, or a machine that is leaving.
     outdated: Vec<&'a Arc<ReplicaRow>>,
     draining: Vec<&'a Arc<ReplicaRow>>,
 }
 
-impl<'a> Census<'a> {
+impl<'a> ReplicasByStatus<'a> {
     fn of(fleet: &Fleet<'a>, deployment: &'a str, spec: &DeploymentSpec) -> Self {
-        let mut census = Census { current: Vec::new(), outdated: Vec::new(), draining: Vec::new() };
+        let mut by_status =
+            ReplicasByStatus { current: Vec::new(), outdated: Vec::new(), draining: Vec::new() };
         for replica in fleet.tables.replicas_of(deployment) {
             if replica.phase == ReplicaPhase::Draining {
-                census.draining.push(replica);
+                by_status.draining.push(replica);
             } else if outdated_because(fleet, replica, spec).is_some() {
-                census.outdated.push(replica);
+                by_status.outdated.push(replica);
             } else {
-                census.current.push(replica);
+                by_status.current.push(replica);
             }
         }
-        census
+        by_status
     }
 
-    fn serving(&self) -> usize {
+    fn serving_count(&self) -> usize {
         let all = self.current.iter().chain(&self.outdated);
         all.filter(|replica| replica.phase == ReplicaPhase::Serving).count()
     }
 
-    fn not_draining(&self) -> usize {
+    fn not_draining_count(&self) -> usize {
         self.current.len() + self.outdated.len()
     }
 }
@@ -74,38 +75,42 @@
     Some(format!("server {leaving} leaves"))
 }
 
-/// One operator at most for each deployment, and one for each drained replica. `repaired` are replicas that
-/// have an operator already.
-pub(crate) fn check(fleet: &Fleet<'_>, repaired: &[String], taken: &mut Vec<String>) -> Vec<Operator> {
+/// Plans at most one operator per deployment, and one per drained replica. `repaired` names the replicas that
+/// already have an operator.
+pub(crate) fn plan_replicas(
+    fleet: &Fleet<'_>,
+    repaired: &[String],
+    reserved: &mut Vec<String>,
+) -> Vec<Operator> {
     let mut operators = Vec::new();
     for (name, spec) in fleet.tables.deployments() {
-        let census = Census::of(fleet, name, spec);
-        operators.extend(finish_drained(fleet, spec, &census, repaired, taken));
-        operators.extend(next_step(fleet, name, spec, &census, repaired, taken));
+        let by_status = ReplicasByStatus::of(fleet, name, spec);
+        operators.extend(handle_drained(fleet, spec, &by_status, repaired, reserved));
+        operators.extend(next_operator(fleet, name, spec, &by_status, repaired, reserved));
     }
     operators.extend(orphans(fleet, repaired));
     operators
 }
 
-/// Drained replicas are dissolved if there are enough without them, else formed anew in place.
-fn finish_drained(
+/// Dissolves drained replicas that are no longer needed and re-forms the others in place.
+fn handle_drained(
     fleet: &Fleet<'_>,
     spec: &DeploymentSpec,
-    census: &Census<'_>,
+    by_status: &ReplicasByStatus<'_>,
     repaired: &[String],
-    taken: &mut Vec<String>,
+    reserved: &mut Vec<String>,
 ) -> Vec<Operator> {
-    let mut missing = (spec.replicas as usize).saturating_sub(census.not_draining());
+    let mut missing = (spec.replicas as usize).saturating_sub(by_status.not_draining_count());
     let mut operators = Vec::new();
-    for replica in &census.draining {
+    for replica in &by_status.draining {
         if !is_idle(fleet, replica) || repaired.contains(&replica.name) {
             continue;
         }
-        let refill = refilled(fleet, replica, spec.machines_per_replica as usize, taken);
+        let refill = refilled_members(fleet, replica, spec.machines_per_replica as usize, reserved);
         match refill {
             Some(members) if missing > 0 => {
                 missing -= 1;
-                taken.extend(members.iter().cloned());
+                reserved.extend(members.iter().cloned());
                 operators.push(reform_drained(replica, members));
             }
             _ => operators.push(dissolve(replica, "drained, and nothing is in flight".to_string())),
@@ -126,74 +131,83 @@
 }
 
 fn is_idle(fleet: &Fleet<'_>, replica: &ReplicaRow) -> bool {
-    // A replica that never served has nothing in flight, and no coordinator reports on it.
+    // A replica that never served has no requests in flight, and no coordinator reports on it.
     let broken = replica.members.iter().any(|server| fleet.health(server) == MachineHealth::Dead);
     broken || fleet.idle_replicas.contains(&(replica.name.clone(), replica.epoch))
 }
 
-fn next_step(
+fn next_operator(
     fleet: &Fleet<'_>,
     name: &str,
     spec: &DeploymentSpec,
-    census: &Census<'_>,
+    by_status: &ReplicasByStatus<'_>,
     repaired: &[String],
-    taken: &mut Vec<String>,
+    reserved: &mut Vec<String>,
 ) -> Option<Operator> {
     let declared = spec.replicas as usize;
-    let untouched = |replica: &&&Arc<ReplicaRow>| !repaired.contains(&replica.name);
-    if census.not_draining() < declared {
-        return form(fleet, name, spec, taken, "Formed", "fewer replicas than declared");
+    let without_operator = |replica: &&&Arc<ReplicaRow>| !repaired.contains(&replica.name);
+    if by_status.not_draining_count() < declared {
+        return form_replica(fleet, name, spec, reserved, "Formed", "fewer replicas than declared");
     }
-    if census.current.len() > declared
-        && let Some(surplus) = least_useful(&census.current, repaired)
+    if by_status.current.len() > declared
+        && let Some(surplus) = scale_down_candidate(&by_status.current, repaired)
     {
-        let message = format!("{} replicas where {declared} are declared", census.current.len());
-        return Some(drain(surplus, "ScaledDown", message));
+        let message = format!("{} replicas where {declared} are declared", by_status.current.len());
+        return Some(drain_replica(surplus, "ScaledDown", message));
     }
-    let outdated = census.outdated.iter().find(untouched)?;
+    let outdated = by_status.outdated.iter().find(without_operator)?;
     let because = outdated_because(fleet, outdated, spec).unwrap_or_default();
-    let spare_capacity = census.serving() > declared || outdated.phase != ReplicaPhase::Serving;
+    let spare_capacity = by_status.serving_count() > declared || outdated.phase != ReplicaPhase::Serving;
     if spare_capacity {
-        return Some(drain(outdated, "Draining", because));
+        return Some(drain_replica(outdated, "Draining", because));
     }
-    if census.not_draining() <= declared
-        && let Some(operator) =
-            form(fleet, name, spec, taken, "Surged", &format!("replaces {}: {because}", outdated.name))
+    if by_status.not_draining_count() <= declared
+        && let Some(operator) = form_replica(
+            fleet,
+            name,
+            spec,
+            reserved,
+            "Surged",
+            &format!("replaces {}: {because}", outdated.name),
+        )
     {
         return Some(operator);
     }
-    let surge_under_way = census.not_draining() > declared;
-    if surge_under_way || !census.draining.is_empty() {
+    let surge_in_progress = by_status.not_draining_count() > declared;
+    if surge_in_progress || !by_status.draining.is_empty() {
         return None;
     }
     let message =
         format!("{because}; no domain has machines for a replacement, so one replica less serves meanwhile");
-    Some(drain(outdated, "Draining", message))
+    Some(drain_replica(outdated, "Draining", message))
 }
 
-/// The one that serves least: not serving before serving, then the newest.
-fn least_useful<'a>(replicas: &[&'a Arc<ReplicaRow>], repaired: &[String]) -> Option<&'a Arc<ReplicaRow>> {
+/// The replica to remove first: one that is not serving if there is any, otherwise the newest.
+fn scale_down_candidate<'a>(
+    replicas: &[&'a Arc<ReplicaRow>],
+    repaired: &[String],
+) -> Option<&'a Arc<ReplicaRow>> {
     let candidates = replicas.iter().filter(|replica| !repaired.contains(&replica.name));
     candidates.max_by_key(|replica| (replica.phase != ReplicaPhase::Serving, replica.since_ms)).copied()
 }
 
-fn form(
+fn form_replica(
     fleet: &Fleet<'_>,
     name: &str,
     spec: &DeploymentSpec,
-    taken: &mut Vec<String>,
+    reserved: &mut Vec<String>,
     reason: &'static str,
     because: &str,
 ) -> Option<Operator> {
-    let members = choose_members(fleet, name, spec, taken)?;
-    taken.extend(members.iter().cloned());
+    let members = choose_members(fleet, name, spec, reserved)?;
+    reserved.extend(members.iter().cloned());
     let domain = fleet.tables.server(&members[0]).map(|server| server.domain.clone()).unwrap_or_default();
     let message = format!("{because}; {} free machines of domain {domain}", members.len());
     let body = CommandBody::FormReplica { deployment: name.to_string(), members, reason: message.clone() };
     Some(Operator::on_deployment(name, reason, message, body))
 }
 
-fn drain(replica: &ReplicaRow, reason: &'static str, message: String) -> Operator {
+fn drain_replica(replica: &ReplicaRow, reason: &'static str, message: String) -> Operator {
     let body = CommandBody::DrainReplica {
         replica: replica.name.clone(),
         epoch: replica.epoch,
@@ -202,26 +216,26 @@
     Operator::on_replica(&replica.name, reason, message, body)
 }
 
-/// Replicas whose deployment is gone.
+/// Drains or dissolves replicas whose deployment has been deleted.
 fn orphans(fleet: &Fleet<'_>, repaired: &[String]) -> Vec<Operator> {
     let orphaned = fleet
         .tables
         .replicas
         .values()
         .filter(|replica| fleet.tables.deployment(&replica.deployment).is_none());
-    let untouched = orphaned.filter(|replica| !repaired.contains(&replica.name));
-    untouched
+    let without_operator = orphaned.filter(|replica| !repaired.contains(&replica.name));
+    without_operator
         .filter_map(|replica| match replica.phase {
             ReplicaPhase::Draining if is_idle(fleet, replica) => {
                 Some(dissolve(replica, "its deployment is gone, and nothing is in flight".to_string()))
             }
             ReplicaPhase::Draining => None,
-            _ => Some(drain(replica, "Draining", "its deployment is gone".to_string())),
+            _ => Some(drain_replica(replica, "Draining", "its deployment is gone".to_string())),
         })
         .collect()
 }
 
-/// Deployments that lack replicas, with the reason why none can be formed.
+/// Deployments with missing replicas, and why these cannot be formed.
 pub(crate) fn shortfalls(fleet: &Fleet<'_>) -> Vec<Shortfall> {
     let spares = spares_by_domain(fleet, &[]);
     let largest = spares.values().map(|domain| domain.servers.len()).max().unwrap_or(0);
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Decisions on small fleets.
+//! Placement decisions on small fleets.
 
 use dockwood_api::peer::{DaemonRecord, MachineState};
 use dockwood_api::resource::{Metadata, Resource, Spec, spec_from_json};
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// A fleet whose decisions are carried out at once.
-struct World {
+/// A fleet to which all planned commands are applied immediately.
+struct TestCluster {
     state: State,
     machines: MachineObservations,
     idle: BTreeSet<(String, u64)>,
@@ -21,20 +21,20 @@
 
 const ALIVE: MachineState = MachineState::Alive { epoch: 0, loaded: false, replica_digest: 0 };
 
-impl World {
-    /// Machines in domains of ten, alternating between two zones, and three daemons.
-    fn new(machines: usize) -> World {
-        let mut world = World {
+impl TestCluster {
+    /// Creates machines in domains of ten, with domains alternating between two zones, and three daemons.
+    fn new(machines: usize) -> TestCluster {
+        let mut cluster = TestCluster {
             state: State::default(),
             machines: MachineObservations::default(),
             idle: BTreeSet::new(),
             now: 100_000,
         };
         let versions = json!([{ "name": "v1", "weightsMib": 100 }, { "name": "v2", "weightsMib": 100 }]);
-        world.store("Model", "m", json!({ "versions": versions, "contextTokens": 1 }));
+        cluster.store_resource("Model", "m", json!({ "versions": versions, "contextTokens": 1 }));
         for number in 0..machines {
-            world.store_server(number, false);
-            world.machines.record(world.now, &machine(number), ALIVE);
+            cluster.store_server(number, false);
+            cluster.machines.record(cluster.now, &machine(number), ALIVE);
         }
         for name in ["e1", "e2", "e3"] {
             let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
@@ -47,16 +47,16 @@
                 frontend: None,
                 operators: None,
             };
-            world.apply(CommandBody::JoinDaemon { record, incarnation: 1 });
+            cluster.apply(CommandBody::JoinDaemon { record, incarnation: 1 });
         }
-        world
+        cluster
     }
 
     fn apply(&mut self, body: CommandBody) {
         self.state.apply(&Command { at_ms: self.now, body });
     }
 
-    fn store(&mut self, kind: &str, name: &str, spec: Value) {
+    fn store_resource(&mut self, kind: &str, name: &str, spec: Value) {
         let kind = kind.parse().unwrap_or_else(|_| panic!("{kind}"));
         let spec: Spec = spec_from_json(kind, spec).unwrap_or_else(|error| panic!("{error}"));
         let resource =
@@ -75,15 +75,15 @@
             "address": format!("127.0.0.1:{}", 1_000 + number), "domain": format!("domain-{domain}"),
             "zone": format!("zone-{}", domain % 2), "drain": drain,
         });
-        self.store("Server", &machine(number), spec);
+        self.store_resource("Server", &machine(number), spec);
     }
 
     fn deploy(&mut self, replicas: u32, version: &str) {
         let spec = json!({ "model": "m", "version": version, "replicas": replicas, "machinesPerReplica": 4 });
-        self.store("Deployment", "d", spec);
+        self.store_resource("Deployment", "d", spec);
     }
 
-    fn decide(&self) -> Vec<Operator> {
+    fn plan_now(&self) -> Vec<Operator> {
         plan(&self.fleet())
     }
 
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Decides and carries out until nothing is left to do; the reasons in order.
-    fn settle(&mut self) -> Vec<&'static str> {
+    /// Plans and applies commands until none are left, and returns their reasons in order.
+    fn apply_until_stable(&mut self) -> Vec<&'static str> {
         let mut reasons = Vec::new();
         for _ in 0..100 {
-            let operators = self.decide();
+            let operators = self.plan_now();
             if operators.is_empty() {
                 return reasons;
             }
@@ -109,13 +109,13 @@
                 reasons.push(operator.reason);
                 self.apply(operator.body);
             }
-            self.confirm_live_orders();
+            self.complete_orders_of_live_machines();
             self.now += 100;
         }
-        panic!("does not settle: {reasons:?}");
+        panic!("the plan does not become stable: {reasons:?}");
     }
 
-    fn confirm_live_orders(&mut self) {
+    fn complete_orders_of_live_machines(&mut self) {
         let pending: Vec<_> = self
             .state
             .tables
@@ -131,7 +131,7 @@
         }
     }
 
-    fn kill(&mut self, server: &str) {
+    fn fail_machine(&mut self, server: &str) {
         self.machines.record(self.now, server, MachineState::Refusing);
         self.now += 1_000;
     }
@@ -140,7 +140,7 @@
         self.state.tables.replicas.values().filter(|row| row.phase == ReplicaPhase::Serving).count()
     }
 
-    fn drained(&mut self) {
+    fn report_drained(&mut self) {
         for row in self.state.tables.replicas.values().filter(|row| row.phase == ReplicaPhase::Draining) {
             self.idle.insert((row.name.clone(), row.epoch));
         }
@@ -153,94 +153,94 @@
 
 #[test]
 fn replicas_are_formed_within_domains_and_spread_over_zones() {
-    let mut world = World::new(40);
-    world.deploy(4, "v1");
-    world.settle();
-    assert_eq!(world.serving(), 4);
+    let mut cluster = TestCluster::new(40);
+    cluster.deploy(4, "v1");
+    cluster.apply_until_stable();
+    assert_eq!(cluster.serving(), 4);
     let zones: BTreeSet<&str> =
-        world.state.tables.replicas.values().take(2).map(|row| row.zone.as_str()).collect();
+        cluster.state.tables.replicas.values().take(2).map(|row| row.zone.as_str()).collect();
     assert_eq!(zones.len(), 2);
     let domains: BTreeSet<&str> =
-        world.state.tables.replicas.values().map(|row| row.domain.as_str()).collect();
+        cluster.state.tables.replicas.values().map(|row| row.domain.as_str()).collect();
     assert_eq!(domains.len(), 4, "every domain keeps spares");
 }
 
 #[test]
 fn a_lost_machine_is_replaced_by_a_spare_of_its_domain() {
-    let mut world = World::new(10);
-    world.deploy(2, "v1");
-    world.settle();
-    let before = world.state.tables.replicas["d-1"].clone();
-    world.kill(&before.members[1]);
-    let operators = world.decide();
-    assert_eq!(operators.iter().map(|one| one.reason).collect::<Vec<_>>(), ["RepairedWithSpare"]);
+    let mut cluster = TestCluster::new(10);
+    cluster.deploy(2, "v1");
+    cluster.apply_until_stable();
+    let before = cluster.state.tables.replicas["d-1"].clone();
+    cluster.fail_machine(&before.members[1]);
+    let operators = cluster.plan_now();
+    assert_eq!(operators.iter().map(|operator| operator.reason).collect::<Vec<_>>(), ["RepairedWithSpare"]);
     assert!(operators[0].message.contains(&before.members[1]), "{}", operators[0].message);
-    world.settle();
-    let after = &world.state.tables.replicas["d-1"];
-    assert_eq!((after.epoch, &after.members[0]), (2, &before.members[0]), "the head stays");
+    cluster.apply_until_stable();
+    let after = &cluster.state.tables.replicas["d-1"];
+    assert_eq!((after.epoch, &after.members[0]), (2, &before.members[0]), "the head does not change");
     assert!(!after.members.contains(&before.members[1]));
-    assert_eq!(world.serving(), 2);
+    assert_eq!(cluster.serving(), 2);
 }
 
 #[test]
 fn a_second_loss_right_after_a_repair_is_repaired_too() {
-    let mut world = World::new(10);
-    world.deploy(2, "v1");
-    world.settle();
+    let mut cluster = TestCluster::new(10);
+    cluster.deploy(2, "v1");
+    cluster.apply_until_stable();
     for _ in 0..2 {
-        let lost = world.state.tables.replicas["d-1"].members[3].clone();
-        world.kill(&lost);
-        world.settle();
-        assert_eq!(world.serving(), 2);
+        let lost = cluster.state.tables.replicas["d-1"].members[3].clone();
+        cluster.fail_machine(&lost);
+        cluster.apply_until_stable();
+        assert_eq!(cluster.serving(), 2);
     }
-    assert_eq!(world.state.tables.replicas["d-1"].epoch, 3);
+    assert_eq!(cluster.state.tables.replicas["d-1"].epoch, 3);
 }
 
 #[test]
-fn without_a_spare_the_replica_moves_to_another_domain() {
-    let mut world = World::new(20);
-    world.deploy(2, "v1");
-    world.settle();
-    let row = world.state.tables.replicas["d-1"].clone();
+fn without_a_spare_the_replica_is_formed_in_another_domain() {
+    let mut cluster = TestCluster::new(20);
+    cluster.deploy(2, "v1");
+    cluster.apply_until_stable();
+    let row = cluster.state.tables.replicas["d-1"].clone();
     let lost: Vec<String> = (0..20)
         .map(machine)
         .filter(|name| {
-            let same_domain = world.state.tables.server(name).map(|spec| &spec.domain) == Some(&row.domain);
+            let same_domain = cluster.state.tables.server(name).map(|spec| &spec.domain) == Some(&row.domain);
             same_domain && (!row.members.contains(name) || *name == row.members[0])
         })
         .collect();
-    lost.iter().for_each(|server| world.kill(server));
-    assert!(world.settle().contains(&"Dissolved"));
-    assert_eq!(world.serving(), 2);
-    assert!(world.state.tables.replicas.values().all(|other| other.domain != row.domain));
+    lost.iter().for_each(|server| cluster.fail_machine(server));
+    assert!(cluster.apply_until_stable().contains(&"Dissolved"));
+    assert_eq!(cluster.serving(), 2);
+    assert!(cluster.state.tables.replicas.values().all(|other| other.domain != row.domain));
 }
 
 #[test]
-fn with_nowhere_to_go_the_replica_waits_and_status_says_why() {
-    let mut world = World::new(8);
-    world.deploy(3, "v1");
-    world.settle();
-    assert_eq!(world.serving(), 2);
-    let shortfalls = shortfalls(&world.fleet());
+fn without_enough_machines_the_shortfall_is_reported_with_its_reason() {
+    let mut cluster = TestCluster::new(8);
+    cluster.deploy(3, "v1");
+    cluster.apply_until_stable();
+    assert_eq!(cluster.serving(), 2);
+    let shortfalls = shortfalls(&cluster.fleet());
     assert_eq!((shortfalls.len(), shortfalls[0].missing), (1, 1));
     assert!(shortfalls[0].message.contains("no domain has 4 free machines"), "{}", shortfalls[0].message);
 }
 
 #[test]
-fn a_short_silence_changes_nothing() {
-    let mut world = World::new(10);
-    world.deploy(2, "v1");
-    world.settle();
-    let member = world.state.tables.replicas["d-1"].members[2].clone();
-    world.machines.record(world.now, &member, MachineState::Silent);
-    world.now += 1_500;
-    assert!(world.decide().is_empty());
-    world.now += 2_000;
-    assert_eq!(world.decide().len(), 1);
+fn a_short_silence_is_tolerated() {
+    let mut cluster = TestCluster::new(10);
+    cluster.deploy(2, "v1");
+    cluster.apply_until_stable();
+    let member = cluster.state.tables.replicas["d-1"].members[2].clone();
+    cluster.machines.record(cluster.now, &member, MachineState::Silent);
+    cluster.now += 1_500;
+    assert!(cluster.plan_now().is_empty());
+    cluster.now += 2_000;
+    assert_eq!(cluster.plan_now().len(), 1);
 }
 
 #[test]
-fn a_machine_that_flaps_must_be_well_for_longer_each_time() {
+fn a_flapping_machine_must_be_stable_twice_as_long_each_time() {
     let mut machines = MachineObservations::default();
     machines.record(0, "a", ALIVE);
     let mut now = 10_000;
@@ -249,86 +249,86 @@
         machines.record(now, "a", MachineState::Refusing);
         now += 1_000;
         machines.record(now, "a", ALIVE);
-        let well =
+        let usable_after =
             (0..200_000).step_by(100).find(|wait| machines.health(now + wait, "a") == MachineHealth::Usable);
-        waits.push(well.unwrap_or(0));
+        waits.push(usable_after.unwrap_or(0));
         now += 1_000;
     }
     assert!(waits.windows(2).all(|pair| pair[1] == pair[0] * 2), "{waits:?}");
 }
 
 #[test]
-fn a_rollout_surges_where_it_can_and_never_drops_below_what_is_declared() {
-    let mut world = World::new(20);
-    world.deploy(3, "v1");
-    world.settle();
-    world.deploy(3, "v2");
+fn a_rollout_surges_and_keeps_the_declared_number_serving() {
+    let mut cluster = TestCluster::new(20);
+    cluster.deploy(3, "v1");
+    cluster.apply_until_stable();
+    cluster.deploy(3, "v2");
     for _ in 0..40 {
-        world.settle();
-        assert!(world.serving() >= 3, "a replica less serves");
-        world.drained();
+        cluster.apply_until_stable();
+        assert!(cluster.serving() >= 3, "fewer replicas serve than declared");
+        cluster.report_drained();
     }
-    assert!(world.state.tables.replicas.values().all(|row| row.version == "v2"));
-    assert_eq!(world.state.tables.replicas.len(), 3);
+    assert!(cluster.state.tables.replicas.values().all(|row| row.version == "v2"));
+    assert_eq!(cluster.state.tables.replicas.len(), 3);
 }
 
 #[test]
-fn without_room_a_rollout_goes_one_by_one_and_says_so() {
-    let mut world = World::new(10);
-    world.deploy(2, "v1");
-    world.settle();
-    world.deploy(2, "v2");
-    let operators = world.decide();
+fn without_spare_machines_a_rollout_replaces_one_replica_at_a_time() {
+    let mut cluster = TestCluster::new(10);
+    cluster.deploy(2, "v1");
+    cluster.apply_until_stable();
+    cluster.deploy(2, "v2");
+    let operators = cluster.plan_now();
     assert_eq!(operators.len(), 1);
     assert!(operators[0].message.contains("one replica less"), "{}", operators[0].message);
     for _ in 0..10 {
-        world.settle();
-        assert!(world.serving() >= 1);
-        world.drained();
+        cluster.apply_until_stable();
+        assert!(cluster.serving() >= 1);
+        cluster.report_drained();
     }
-    assert!(world.state.tables.replicas.values().all(|row| row.version == "v2") && world.serving() == 2);
+    assert!(cluster.state.tables.replicas.values().all(|row| row.version == "v2") && cluster.serving() == 2);
 }
 
 #[test]
-fn a_drained_server_leaves_only_once_nothing_is_in_flight() {
-    let mut world = World::new(10);
-    world.deploy(2, "v1");
-    world.settle();
-    let server = world.state.tables.replicas["d-1"].members[2].clone();
+fn a_drained_server_is_freed_only_once_nothing_is_in_flight() {
+    let mut cluster = TestCluster::new(10);
+    cluster.deploy(2, "v1");
+    cluster.apply_until_stable();
+    let server = cluster.state.tables.replicas["d-1"].members[2].clone();
     let number: usize = server.trim_start_matches("machine-").parse().unwrap_or(0);
-    world.store_server(number, true);
-    world.settle();
-    assert_eq!(world.state.tables.replicas["d-1"].phase, ReplicaPhase::Draining);
-    assert!(world.state.tables.replicas["d-1"].members.contains(&server));
-    world.drained();
-    world.settle();
-    assert!(world.state.tables.is_free(&server));
-    assert_eq!(world.serving(), 2);
+    cluster.store_server(number, true);
+    cluster.apply_until_stable();
+    assert_eq!(cluster.state.tables.replicas["d-1"].phase, ReplicaPhase::Draining);
+    assert!(cluster.state.tables.replicas["d-1"].members.contains(&server));
+    cluster.report_drained();
+    cluster.apply_until_stable();
+    assert!(cluster.state.tables.is_free(&server));
+    assert_eq!(cluster.serving(), 2);
 }
 
 #[test]
 fn scaling_down_and_deleting_drain_first() {
-    let mut world = World::new(20);
-    world.deploy(3, "v1");
-    world.settle();
-    world.deploy(1, "v1");
-    world.settle();
-    assert_eq!(world.serving(), 1);
-    assert_eq!(world.state.tables.replicas.len(), 3);
-    world.drained();
-    world.settle();
-    assert_eq!(world.state.tables.replicas.len(), 1);
+    let mut cluster = TestCluster::new(20);
+    cluster.deploy(3, "v1");
+    cluster.apply_until_stable();
+    cluster.deploy(1, "v1");
+    cluster.apply_until_stable();
+    assert_eq!(cluster.serving(), 1);
+    assert_eq!(cluster.state.tables.replicas.len(), 3);
+    cluster.report_drained();
+    cluster.apply_until_stable();
+    assert_eq!(cluster.state.tables.replicas.len(), 1);
 }
 
 #[test]
-fn duties_move_from_a_lost_daemon_and_only_those() {
-    let mut world = World::new(20);
-    world.deploy(3, "v1");
-    world.settle();
-    let pool = world.state.tables.pools["d"].clone();
+fn only_the_assignments_of_a_lost_daemon_move() {
+    let mut cluster = TestCluster::new(20);
+    cluster.deploy(3, "v1");
+    cluster.apply_until_stable();
+    let pool = cluster.state.tables.pools["d"].clone();
     let (coordinator, standby) = (pool.coordinator.unwrap_or_default(), pool.standby.unwrap_or_default());
     assert_ne!(coordinator, standby);
-    let kept: Vec<_> = world
+    let kept: Vec<_> = cluster
         .state
         .tables
         .replicas
@@ -336,15 +336,19 @@
         .filter(|row| row.watcher.as_ref() != Some(&coordinator))
         .cloned()
         .collect();
-    world.apply(CommandBody::SetLiveness {
+    cluster.apply(CommandBody::SetLiveness {
         daemon: coordinator.clone(),
         incarnation: 1,
         liveness: Liveness::Lost,
     });
-    world.settle();
-    assert_eq!(world.state.tables.pools["d"].coordinator.as_ref(), Some(&standby), "the standby takes over");
-    assert!(world.state.tables.replicas.values().all(|row| row.watcher.as_ref() != Some(&coordinator)));
+    cluster.apply_until_stable();
+    assert_eq!(
+        cluster.state.tables.pools["d"].coordinator.as_ref(),
+        Some(&standby),
+        "the standby takes over"
+    );
+    assert!(cluster.state.tables.replicas.values().all(|row| row.watcher.as_ref() != Some(&coordinator)));
     for row in kept {
-        assert_eq!(world.state.tables.replicas[&row.name].watcher, row.watcher);
+        assert_eq!(cluster.state.tables.replicas[&row.name].watcher, row.watcher);
     }
 }
