--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -14,7 +14,7 @@
 use crate::suspects::{Admission, SuspectGate};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
-use dockwood_routing::gateway::{Course, GiveUp, SendOutcome, Verdict};
+use dockwood_routing::gateway::{GiveUp, RequestAttempts, SendOutcome, Verdict};
 use dockwood_routing::{CallResult, Millis};
 use http_body_util::Full;
 use hyper::header::HeaderMap;
@@ -55,7 +55,7 @@
         gateway,
         received,
         account,
-        course: Course::new(&received.route),
+        course: RequestAttempts::new(&received.route),
         gate: received.suspect_gate(&gateway.shared),
         in_flight: false,
         tried: Vec::new(),
@@ -81,7 +81,7 @@
     gateway: &'a Arc<Gateway>,
     received: &'a Received,
     account: RequestAccount,
-    course: Course,
+    course: RequestAttempts,
     gate: SuspectGate,
     in_flight: bool,
     tried: Vec<String>,
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -17,7 +17,9 @@
 use bytes::Bytes;
 use choosing::Taken;
 use dockwood_api::ResultCode;
-use dockwood_routing::gateway::{Course, EventSplitter, GiveUp, Pace, SendOutcome, Silence, Verdict};
+use dockwood_routing::gateway::{
+    EventSplitter, GiveUp, Pace, RequestAttempts, SendOutcome, Silence, Verdict,
+};
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -57,7 +59,7 @@
     gateway: Arc<Gateway>,
     received: Received,
     account: RequestAccount,
-    course: Course,
+    course: RequestAttempts,
     pace: Option<Pace>,
     reading: Option<Reading>,
     head: Option<Head>,
@@ -97,7 +99,7 @@
         gateway.loads.arrived(&received.service.name, &model.name, received.prompt_tokens);
     }
     let mut course = StreamCourse {
-        course: Course::new(&received.route),
+        course: RequestAttempts::new(&received.route),
         last_event: received.last_event,
         gate: received.suspect_gate(&gateway.shared),
         taken: Taken::default(),
--- a/crates/routing/src/gateway/attempts.rs
+++ b/crates/routing/src/gateway/attempts.rs
@@ -46,7 +46,7 @@
 
 /// State of one request's sends.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct RequestAttempts {
     repeatable: bool,
     max_executions: u32,
     possible_executions: u32,
@@ -58,12 +58,12 @@
 /// takes time.
 const MAX_ATTEMPTS: u32 = 6;
 
-impl Course {
+impl RequestAttempts {
     /// Creates the state of a request that has not been sent yet.
     pub fn new(route: &Route) -> Self {
         let repeatable = route.is_repeatable();
         let max_executions = if repeatable { route.max_attempts.max(1) } else { 1 };
-        Course { repeatable, max_executions, possible_executions: 0, sends: 0, attempts: 0 }
+        RequestAttempts { repeatable, max_executions, possible_executions: 0, sends: 0, attempts: 0 }
     }
 
     /// Whether the next send is a retry, which the retry budget must allow.
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -6,7 +6,7 @@
     WeightedService,
 };
 use dockwood_routing::gateway::{
-    AllowedRegions, Candidate, Course, EventSplitter, KeyVerdict, Pace, PaceEstimates, RouteTable,
+    AllowedRegions, Candidate, EventSplitter, KeyVerdict, Pace, PaceEstimates, RequestAttempts, RouteTable,
     SendBudget, SendBudgetLimits, SendOutcome, Silence, Verdict, choose,
 };
 use proptest::prelude::*;
@@ -113,7 +113,7 @@
     failed = { SendOutcome::Failed, false },
 )]
 fn at_most_once_requests_are_resent_only_if_known_not_to_have_run(outcome: SendOutcome, resent: bool) {
-    let mut course = Course::new(&route("r", "/a/", RouteKind::AtMostOnce));
+    let mut course = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
     assert!(!course.may_move());
     assert_eq!(course.ended(outcome) == Verdict::SendAgain, resent);
 }
@@ -126,7 +126,7 @@
         let kinds = [RouteKind::Repeatable, RouteKind::AtMostOnce, RouteKind::Stream];
         let route = Route { resumable, ..route("r", "/a/", kinds[kind as usize]) };
         let max_executions = if route.is_repeatable() { route.max_attempts } else { 1 };
-        let mut course = Course::new(&route);
+        let mut course = RequestAttempts::new(&route);
         let mut possible_executions = 0;
         for number in outcomes {
             let outcome = [
@@ -281,7 +281,7 @@
 
 #[test]
 fn expired_requests_are_reported_not_run_only_if_never_sent() {
-    let course = Course::new(&route("r", "/a/", RouteKind::AtMostOnce));
+    let course = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
     assert_eq!(course.out_of_time(false).code, ResultCode::DeadlineInQueue);
     assert_eq!(course.out_of_time(true).code, ResultCode::DeadlinePassed);
 }
