--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -18,7 +18,7 @@
 use choosing::Taken;
 use dockwood_api::ResultCode;
 use dockwood_routing::gateway::{
-    EventSplitter, GiveUp, Pace, RequestAttempts, SendOutcome, Silence, Verdict,
+    EventSplitter, GiveUp, RequestAttempts, SendOutcome, Silence, StallTimeouts, Verdict,
 };
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -60,7 +60,7 @@
     received: Received,
     account: RequestAccount,
     course: RequestAttempts,
-    pace: Option<Pace>,
+    pace: Option<StallTimeouts>,
     reading: Option<Reading>,
     head: Option<Head>,
     /// The last event passed on.
@@ -93,7 +93,7 @@
     let model = engine.zip(received.model.as_ref()).and_then(|(engine, name)| engine.model(name));
     let pace = engine.zip(model).map(|(engine, model)| {
         let seen = gateway.loads.pace_estimates(&model.name);
-        Pace::expected(engine, model, &received.route, &seen)
+        StallTimeouts::expected(engine, model, &received.route, &seen)
     });
     if let Some(model) = model {
         gateway.loads.arrived(&received.service.name, &model.name, received.prompt_tokens);
--- a/crates/routing/src/gateway/stall_detection.rs
+++ b/crates/routing/src/gateway/stall_detection.rs
@@ -107,21 +107,21 @@
 
 /// Stall timeouts of one stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct StallTimeouts {
     /// Between events.
     pub between_events: Silence,
     /// Before the first event.
     pub first_event: Silence,
 }
 
-impl Pace {
+impl StallTimeouts {
     /// Timeouts for a request of this route on the groups of a model.
     pub fn expected(
         engine: &EngineProfile,
         model: &ModelProfile,
         route: &Route,
         observed: &PaceEstimates,
-    ) -> Pace {
+    ) -> StallTimeouts {
         let step = engine.step_ms + engine.per_sequence_ms * f64::from(engine.slots);
         let prefill = f64::from(engine.chunk) * 1_000.0 / engine.read_per_second.max(1.0);
         let slowest_pass = model.pace * f64::from(engine.stride.max(1)) * (step + prefill);
@@ -129,7 +129,7 @@
         let between = (observed_gap * MARGIN_PERCENT / 100.0).max(MIN_THRESHOLD_MS);
         let target = route.target_latency_ms as f64;
         let first = observed.first_event.peak_ms().unwrap_or(target) * MARGIN_PERCENT / 100.0;
-        Pace {
+        StallTimeouts {
             between_events: confident_between_events(route, observed, observed_gap)
                 .unwrap_or(Silence::with_full_grace(between)),
             first_event: Silence::with_full_grace(first.max(between)),
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -6,8 +6,8 @@
     WeightedService,
 };
 use dockwood_routing::gateway::{
-    AllowedRegions, Candidate, EventSplitter, KeyVerdict, Pace, PaceEstimates, RequestAttempts, RouteTable,
-    SendBudget, SendBudgetLimits, SendOutcome, Silence, Verdict, choose,
+    AllowedRegions, Candidate, EventSplitter, KeyVerdict, PaceEstimates, RequestAttempts, RouteTable,
+    SendBudget, SendBudgetLimits, SendOutcome, Silence, StallTimeouts, Verdict, choose,
 };
 use proptest::prelude::*;
 use yare::parameterized;
@@ -217,7 +217,7 @@
     assert_eq!(choose(&[], |_| 0), None);
 }
 
-fn pace(observed: &PaceEstimates) -> Pace {
+fn pace(observed: &PaceEstimates) -> StallTimeouts {
     let engine = EngineProfile {
         slots: 10,
         step_ms: 9.0,
@@ -229,7 +229,7 @@
     };
     let model = ModelProfile { name: "m".into(), size: 2, share: 1.0, pace: 1.0, load_ms: 1, warm_ms: 1 };
     let route = Route { target_gap_ms: 200, ..route("r", "/a/", RouteKind::Stream) };
-    Pace::expected(&engine, &model, &route, observed)
+    StallTimeouts::expected(&engine, &model, &route, observed)
 }
 
 #[test]
@@ -245,7 +245,10 @@
         observed.first_event.record(200.0);
     }
     let silence = |suspicious_ms, patience_ms| Silence { suspicious_ms, patience_ms };
-    assert_eq!(pace(&observed), Pace { between_events: silence(125, 150), first_event: silence(250, 250) });
+    assert_eq!(
+        pace(&observed),
+        StallTimeouts { between_events: silence(125, 150), first_event: silence(250, 250) }
+    );
     observed.between_events.record(5_000.0);
     assert_eq!(
         pace(&observed).between_events.suspicious_ms,
