--- a/crates/daemon/src/gateway/stalls.rs
+++ b/crates/daemon/src/gateway/stalls.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use super::source::Source;
-use dockwood_routing::gateway::{SendOutcome, Silence};
+use dockwood_routing::gateway::{SendOutcome, StallTimeout};
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
     gateway: &Gateway,
     source: &Source,
     since: Instant,
-    silence: Option<Silence>,
+    silence: Option<StallTimeout>,
     changes: &mut watch::Receiver<u64>,
 ) {
     let (Source::Group(place), Some(silence)) = (source, silence) else {
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -18,7 +18,7 @@
 use choosing::Taken;
 use dockwood_api::ResultCode;
 use dockwood_routing::gateway::{
-    EventSplitter, GiveUp, RequestAttempts, SendOutcome, Silence, StallTimeouts, Verdict,
+    EventSplitter, GiveUp, RequestAttempts, SendOutcome, StallTimeout, StallTimeouts, Verdict,
 };
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -219,7 +219,7 @@
     }
 
     /// How long the source may be silent for it not to count as standing still.
-    fn silence(&self) -> Option<Silence> {
+    fn silence(&self) -> Option<StallTimeout> {
         let pace = self.pace?;
         Some(if self.awaits_first { pace.first_event } else { pace.between_events })
     }
--- a/crates/routing/src/gateway/stall_detection.rs
+++ b/crates/routing/src/gateway/stall_detection.rs
@@ -79,24 +79,24 @@
 
 /// How long the source of one stream may send nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Silence {
+pub struct StallTimeout {
     /// After this time the group is suspected: it is avoided for new requests, and its members are probed.
     pub suspicious_ms: Millis,
     /// Grace period after that, before the stream fails over to another group.
     pub patience_ms: Millis,
 }
 
-impl Silence {
+impl StallTimeout {
     /// Low confidence: the stream waits for the same time again before it fails over.
-    fn with_full_grace(suspicious_ms: f64) -> Silence {
+    fn with_full_grace(suspicious_ms: f64) -> StallTimeout {
         let patience_ms = suspicious_ms.max(MIN_GRACE_MS);
-        Silence { suspicious_ms: suspicious_ms as Millis, patience_ms: patience_ms as Millis }
+        StallTimeout { suspicious_ms: suspicious_ms as Millis, patience_ms: patience_ms as Millis }
     }
 
     /// High confidence: the stream fails over after a short grace period.
-    fn with_short_grace(suspicious_ms: f64) -> Silence {
+    fn with_short_grace(suspicious_ms: f64) -> StallTimeout {
         let patience_ms = suspicious_ms * CONFIDENT_GRACE_FACTOR;
-        Silence { suspicious_ms: suspicious_ms as Millis, patience_ms: patience_ms as Millis }
+        StallTimeout { suspicious_ms: suspicious_ms as Millis, patience_ms: patience_ms as Millis }
     }
 
     /// Total time until the stream fails over.
@@ -109,9 +109,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StallTimeouts {
     /// Between events.
-    pub between_events: Silence,
+    pub between_events: StallTimeout,
     /// Before the first event.
-    pub first_event: Silence,
+    pub first_event: StallTimeout,
 }
 
 impl StallTimeouts {
@@ -131,8 +131,8 @@
         let first = observed.first_event.peak_ms().unwrap_or(target) * MARGIN_PERCENT / 100.0;
         StallTimeouts {
             between_events: confident_between_events(route, observed, observed_gap)
-                .unwrap_or(Silence::with_full_grace(between)),
-            first_event: Silence::with_full_grace(first.max(between)),
+                .unwrap_or(StallTimeout::with_full_grace(between)),
+            first_event: StallTimeout::with_full_grace(first.max(between)),
         }
     }
 }
@@ -141,10 +141,15 @@
 /// meets the route's target gap. Failing over costs another prefill of the prompt, so it pays off only then.
 /// Measured on a model with 30 ms passes and a 200 ms target gap: streams that waited for the full grace
 /// period had gaps of 310 to 600 ms.
-fn confident_between_events(route: &Route, observed: &PaceEstimates, observed_gap: f64) -> Option<Silence> {
+fn confident_between_events(
+    route: &Route,
+    observed: &PaceEstimates,
+    observed_gap: f64,
+) -> Option<StallTimeout> {
     let is_confident = observed.between_events.is_confident() && observed.first_event.peak_ms().is_some();
-    let silence =
-        Silence::with_short_grace((observed_gap * CONFIDENT_MARGIN_PERCENT / 100.0).max(MIN_THRESHOLD_MS));
+    let silence = StallTimeout::with_short_grace(
+        (observed_gap * CONFIDENT_MARGIN_PERCENT / 100.0).max(MIN_THRESHOLD_MS),
+    );
     let expected_gap_ms = silence.total_ms() + observed.first_event.mean_ms;
     (is_confident && expected_gap_ms <= route.target_gap_ms as f64).then_some(silence)
 }
