--- a/crates/daemon/src/gateway/loads/mod.rs
+++ b/crates/daemon/src/gateway/loads/mod.rs
@@ -13,7 +13,7 @@
 use crate::pushback::{Addressee, AllHeld};
 use dockwood_api::gateway::{EventPace, ModelLoad};
 use dockwood_routing::Millis;
-use dockwood_routing::gateway::{AllowedZones, Candidate, PaceEstimates, choose, timely_event_ms};
+use dockwood_routing::gateway::{AllowedZones, Candidate, ObservedLatency, choose, timely_event_ms};
 use dockwood_state::{GatewayTables, GroupPhase};
 use group_state::GroupState;
 use rand::RngExt;
@@ -42,7 +42,7 @@
     pub urgent: Notify,
     /// A request has ended.
     pub ended: Notify,
-    paces: Mutex<BTreeMap<String, PaceEstimates>>,
+    paces: Mutex<BTreeMap<String, ObservedLatency>>,
     /// What the leader is to be told of each model, by service and model.
     demand: Mutex<BTreeMap<(String, String), ModelLoad>>,
     /// Grows when a group closes.
@@ -160,7 +160,7 @@
     }
 
     /// What was seen of a model's groups.
-    pub fn pace_estimates(&self, model: &str) -> PaceEstimates {
+    pub fn pace_estimates(&self, model: &str) -> ObservedLatency {
         lock(&self.paces).get(model).copied().unwrap_or_default()
     }
 
--- a/crates/routing/src/gateway/mod.rs
+++ b/crates/routing/src/gateway/mod.rs
@@ -17,4 +17,4 @@
 pub use events::{EventSplitter, StreamEvent};
 pub use regions::{AllowedRegions, AllowedZones};
 pub use route_table::{Destination, KeyVerdict, RouteTable};
-pub use stall_detection::{LatencyStats, PaceEstimates, StallTimeout, StallTimeouts, timely_event_ms};
+pub use stall_detection::{LatencyStats, ObservedLatency, StallTimeout, StallTimeouts, timely_event_ms};
--- a/crates/routing/src/gateway/stall_detection.rs
+++ b/crates/routing/src/gateway/stall_detection.rs
@@ -70,7 +70,7 @@
 
 /// Latencies observed for the groups of one model.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PaceEstimates {
+pub struct ObservedLatency {
     /// From sending a request to its first event.
     pub first_event: LatencyStats,
     /// Between two consecutive events.
@@ -120,7 +120,7 @@
         engine: &EngineProfile,
         model: &ModelProfile,
         route: &Route,
-        observed: &PaceEstimates,
+        observed: &ObservedLatency,
     ) -> StallTimeouts {
         let step = engine.step_ms + engine.per_sequence_ms * f64::from(engine.slots);
         let prefill = f64::from(engine.chunk) * 1_000.0 / engine.read_per_second.max(1.0);
@@ -143,7 +143,7 @@
 /// period had gaps of 310 to 600 ms.
 fn confident_between_events(
     route: &Route,
-    observed: &PaceEstimates,
+    observed: &ObservedLatency,
     observed_gap: f64,
 ) -> Option<StallTimeout> {
     let is_confident = observed.between_events.is_confident() && observed.first_event.peak_ms().is_some();
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -6,7 +6,7 @@
     WeightedService,
 };
 use dockwood_routing::gateway::{
-    AllowedRegions, Candidate, EventSplitter, KeyVerdict, PaceEstimates, RequestAttempts, RouteTable,
+    AllowedRegions, Candidate, EventSplitter, KeyVerdict, ObservedLatency, RequestAttempts, RouteTable,
     SendBudget, SendBudgetLimits, SendOutcome, StallTimeout, StallTimeouts, Verdict, choose,
 };
 use proptest::prelude::*;
@@ -217,7 +217,7 @@
     assert_eq!(choose(&[], |_| 0), None);
 }
 
-fn pace(observed: &PaceEstimates) -> StallTimeouts {
+fn pace(observed: &ObservedLatency) -> StallTimeouts {
     let engine = EngineProfile {
         slots: 10,
         step_ms: 9.0,
@@ -234,7 +234,7 @@
 
 #[test]
 fn stall_timeouts_use_the_declared_pass_time_until_there_are_enough_samples() {
-    let mut observed = PaceEstimates::default();
+    let mut observed = ObservedLatency::default();
     assert_eq!(
         pace(&observed).between_events.suspicious_ms,
         375,
@@ -263,7 +263,7 @@
 #[test]
 fn a_stream_fails_over_at_once_only_if_it_can_meet_the_target_gap() {
     let observed = |between_ms: f64, first_ms: f64, samples: u32| {
-        let mut observed = PaceEstimates::default();
+        let mut observed = ObservedLatency::default();
         for _ in 0..samples {
             observed.between_events.record(between_ms);
             observed.first_event.record(first_ms);
