--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -14,7 +14,7 @@
 use crate::suspects::{Admission, SuspectGate};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
-use dockwood_routing::gateway::{GiveUp, RequestAttempts, SendOutcome, Verdict};
+use dockwood_routing::gateway::{GiveUp, RequestAttempts, RetryDecision, SendOutcome};
 use dockwood_routing::{CallResult, Millis};
 use http_body_util::Full;
 use hyper::header::HeaderMap;
@@ -118,7 +118,7 @@
             if outcome == SendOutcome::ServerEnded {
                 self.gate.server_ended();
             }
-            if let Verdict::GiveUp(told) = self.course.ended(outcome) {
+            if let RetryDecision::GiveUp(told) = self.course.ended(outcome) {
                 return match self.kept.take() {
                     Some(kept) => self.pass_on(kept),
                     None => self.give_up(told),
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -18,7 +18,7 @@
 use choosing::Taken;
 use dockwood_api::ResultCode;
 use dockwood_routing::gateway::{
-    EventSplitter, GiveUp, RequestAttempts, SendOutcome, StallTimeout, StallTimeouts, Verdict,
+    EventSplitter, GiveUp, RequestAttempts, RetryDecision, SendOutcome, StallTimeout, StallTimeouts,
 };
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -180,8 +180,8 @@
             self.gate.server_ended();
         }
         match self.course.ended(outcome) {
-            Verdict::SendAgain => Ok(()),
-            Verdict::GiveUp(told) => Err(told),
+            RetryDecision::SendAgain => Ok(()),
+            RetryDecision::GiveUp(told) => Err(told),
         }
     }
 
--- a/crates/routing/src/gateway/attempts.rs
+++ b/crates/routing/src/gateway/attempts.rs
@@ -28,7 +28,7 @@
 
 /// What to do after a failed send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Send the request to another server, if the budget and the deadline allow it.
     SendAgain,
     /// Return a final result to the caller.
@@ -79,7 +79,7 @@
     }
 
     /// Records the end of a send and returns what to do next.
-    pub fn ended(&mut self, outcome: SendOutcome) -> Verdict {
+    pub fn ended(&mut self, outcome: SendOutcome) -> RetryDecision {
         self.attempts += 1;
         match outcome {
             // No server was reached, so this send does not count against the budget.
@@ -94,12 +94,12 @@
             }
         }
         if self.possible_executions >= self.max_executions || self.attempts >= MAX_ATTEMPTS {
-            return Verdict::GiveUp(self.give_up());
+            return RetryDecision::GiveUp(self.give_up());
         }
         if self.possible_executions > 0 && !self.repeatable {
-            return Verdict::GiveUp(self.give_up());
+            return RetryDecision::GiveUp(self.give_up());
         }
-        Verdict::SendAgain
+        RetryDecision::SendAgain
     }
 
     /// The result for the caller if the request is not sent again.
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -6,8 +6,8 @@
     WeightedService,
 };
 use dockwood_routing::gateway::{
-    AllowedRegions, Candidate, EventSplitter, KeyVerdict, ObservedLatency, RequestAttempts, RouteTable,
-    SendBudget, SendBudgetLimits, SendOutcome, StallTimeout, StallTimeouts, Verdict, choose,
+    AllowedRegions, Candidate, EventSplitter, KeyVerdict, ObservedLatency, RequestAttempts, RetryDecision,
+    RouteTable, SendBudget, SendBudgetLimits, SendOutcome, StallTimeout, StallTimeouts, choose,
 };
 use proptest::prelude::*;
 use yare::parameterized;
@@ -115,7 +115,7 @@
 fn at_most_once_requests_are_resent_only_if_known_not_to_have_run(outcome: SendOutcome, resent: bool) {
     let mut course = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
     assert!(!course.may_move());
-    assert_eq!(course.ended(outcome) == Verdict::SendAgain, resent);
+    assert_eq!(course.ended(outcome) == RetryDecision::SendAgain, resent);
 }
 
 proptest! {
@@ -138,8 +138,8 @@
             ][number as usize];
             possible_executions += u32::from(!matches!(outcome, SendOutcome::NotSent | SendOutcome::SaidNotRun));
             match course.ended(outcome) {
-                Verdict::SendAgain => prop_assert!(possible_executions < max_executions),
-                Verdict::GiveUp(give_up) => {
+                RetryDecision::SendAgain => prop_assert!(possible_executions < max_executions),
+                RetryDecision::GiveUp(give_up) => {
                     prop_assert_eq!(give_up.not_run, possible_executions == 0);
                     prop_assert_eq!(give_up.code.is_not_run(), give_up.not_run);
                     break;
