--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use dockwood_routing::Millis;
 use dockwood_routing::pushback::{
-    AnswerSignals, Heard, Hold, LeavingMark, RequestRate, SendKind, return_spread_ms,
+    AnswerSignals, Hold, LeavingMark, LimitObservation, RequestRate, SendKind, return_spread_ms,
 };
 use rand::RngExt;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
     fn note_limit(&self, signals: &AnswerSignals, request: &str) {
         let is_own_word = signals.status < FIRST_FAILURE && signals.status != TOO_MANY_REQUESTS;
         let may_end_limit = self.may_end_limit && is_own_word;
-        let heard = Heard { named: signals.limit, sent_at: self.given_at, may_end_limit };
+        let heard = LimitObservation { named: signals.limit, sent_at: self.given_at, may_end_limit };
         let pushback = &self.shared.pushback;
         let mut limits = lock(&pushback.limits);
         let change = limits.heard(monotonic_ms(), &self.addressee.start, heard);
--- a/crates/routing/src/pushback/limits.rs
+++ b/crates/routing/src/pushback/limits.rs
@@ -28,7 +28,7 @@
 
 /// What one answer says about the limit of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct LimitObservation {
     /// The limit, if any.
     pub named: NamedLimit,
     /// When the request of this answer was sent.
@@ -174,7 +174,12 @@
 
     /// Processes what an answer says about its server's limit. It replaces the known limit if the request was
     /// sent after that one was observed; among answers that arrive out of order, the strictest limit applies.
-    pub fn heard(&mut self, now: Millis, server: &ServerStart, heard: Heard) -> Option<LimitChange> {
+    pub fn heard(
+        &mut self,
+        now: Millis,
+        server: &ServerStart,
+        heard: LimitObservation,
+    ) -> Option<LimitChange> {
         match heard.named {
             NamedLimit::Unreadable => None,
             NamedLimit::Rate(rate) => self.record_limit(now, server, rate, heard.sent_at),
--- a/crates/routing/src/pushback/mod.rs
+++ b/crates/routing/src/pushback/mod.rs
@@ -14,7 +14,7 @@
 mod turns;
 
 pub use dockwood_api::gateway::{RequestRate, ServerStart};
-pub use limits::{Heard, LimitChange, LimitTable};
+pub use limits::{LimitChange, LimitObservation, LimitTable};
 pub use named_limit::NamedLimit;
 pub use signals::{AnswerSignals, LeavingMark, RetryAfter};
 pub use table::{BackoffStarted, Hold, PushbackTable, SendKind, return_spread_ms};
--- a/crates/routing/tests/limit_fleet.rs
+++ b/crates/routing/tests/limit_fleet.rs
@@ -3,7 +3,7 @@
 //! derived from a seed.
 
 use dockwood_api::gateway::{RequestRate, ServerLimit, ServerStart};
-use dockwood_routing::pushback::{Heard, LimitTable, NamedLimit, Turn, TurnBook, TurnShare};
+use dockwood_routing::pushback::{LimitObservation, LimitTable, NamedLimit, Turn, TurnBook, TurnShare};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -221,7 +221,11 @@
         if limit.is_some() {
             state.informed_at.get_or_insert(now);
         }
-        state.limits.heard(now, &server(), Heard { named: named(limit), sent_at, may_end_limit: true });
+        state.limits.heard(
+            now,
+            &server(),
+            LimitObservation { named: named(limit), sent_at, may_end_limit: true },
+        );
         for limit in state.limits.take_news(now) {
             self.send(ANNOUNCEMENT_DELAY_MS, Message::Announcement { limit, from: entry });
         }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of servers as known to one daemon, from answers and from other daemons.
 
 use dockwood_api::gateway::{RequestRate, ServerLimit, ServerStart};
-use dockwood_routing::pushback::{Heard, LimitChange, LimitTable, NamedLimit};
+use dockwood_routing::pushback::{LimitChange, LimitObservation, LimitTable, NamedLimit};
 
 const fn rate(thousandths: u64) -> RequestRate {
     RequestRate::of_thousandths(thousandths)
@@ -12,12 +12,12 @@
 }
 
 /// An answer received at the time its request was sent.
-fn declares(thousandths: u64, at: u64) -> Heard {
-    Heard { named: NamedLimit::Rate(rate(thousandths)), sent_at: at, may_end_limit: true }
+fn declares(thousandths: u64, at: u64) -> LimitObservation {
+    LimitObservation { named: NamedLimit::Rate(rate(thousandths)), sent_at: at, may_end_limit: true }
 }
 
-fn declares_none(sent_at: u64) -> Heard {
-    Heard { named: NamedLimit::Absent, sent_at, may_end_limit: true }
+fn declares_none(sent_at: u64) -> LimitObservation {
+    LimitObservation { named: NamedLimit::Absent, sent_at, may_end_limit: true }
 }
 
 fn limited() -> (LimitTable, ServerStart) {
@@ -41,7 +41,7 @@
 #[test]
 fn an_unreadable_limit_is_ignored() {
     let (mut table, server) = limited();
-    let unreadable = Heard { named: NamedLimit::Unreadable, sent_at: 2_000, may_end_limit: true };
+    let unreadable = LimitObservation { named: NamedLimit::Unreadable, sent_at: 2_000, may_end_limit: true };
     assert_eq!(table.heard(2_000, &server, unreadable), None);
     assert_eq!(table.rate(2_000, &server), Some(rate(2_500)));
 }
@@ -85,7 +85,7 @@
 #[test]
 fn a_rejection_does_not_end_a_limit() {
     let (mut table, server) = limited();
-    let rejected = Heard { may_end_limit: false, ..declares_none(2_000) };
+    let rejected = LimitObservation { may_end_limit: false, ..declares_none(2_000) };
     assert_eq!(table.heard(2_000, &server, rejected), None);
     assert_eq!(table.rate(2_000, &server), Some(rate(2_500)));
 }
