--- a/crates/daemon/src/pushback/mod.rs
+++ b/crates/daemon/src/pushback/mod.rs
@@ -23,7 +23,7 @@
 use crate::lock::lock;
 use crate::metrics::Metrics;
 use dockwood_routing::Millis;
-use dockwood_routing::pushback::{Hold, LimitTable, PushbackTable, RequestRate, ServerStart, TurnBook};
+use dockwood_routing::pushback::{Hold, LimitTable, PushbackTable, RequestRate, ServerStart, TurnAllocator};
 use dockwood_state::{GatewayTables, GroupRow, InstanceRow};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -36,9 +36,9 @@
     table: Mutex<PushbackTable>,
     limits: Mutex<LimitTable>,
     /// Turns that are given here, to servers whose limits this daemon shares out.
-    turns: Mutex<TurnBook>,
+    turns: Mutex<TurnAllocator>,
     /// Turns that this daemon takes by itself, as nobody gives it any.
-    own_turns: Mutex<TurnBook>,
+    own_turns: Mutex<TurnAllocator>,
     /// Other daemons are to be told of a limit.
     news: Notify,
     line_budget: Mutex<LineBudget>,
--- a/crates/routing/src/pushback/mod.rs
+++ b/crates/routing/src/pushback/mod.rs
@@ -18,4 +18,4 @@
 pub use named_limit::NamedLimit;
 pub use signals::{AnswerSignals, LeavingMark, RetryAfter};
 pub use table::{BackoffStarted, Hold, PushbackTable, SendKind, return_spread_ms};
-pub use turns::{Turn, TurnBook, TurnShare, interval_ms};
+pub use turns::{Turn, TurnAllocator, TurnShare, interval_ms};
--- a/crates/routing/src/pushback/turns.rs
+++ b/crates/routing/src/pushback/turns.rs
@@ -185,11 +185,11 @@
 
 /// Schedules of the servers whose limits this daemon allocates.
 #[derive(Clone, Debug, Default)]
-pub struct TurnBook {
+pub struct TurnAllocator {
     servers: BTreeMap<String, TurnSchedule>,
 }
 
-impl TurnBook {
+impl TurnAllocator {
     /// Requests a turn to send a request of this rank to a server now; `rate` is the server's rate.
     pub fn take(
         &mut self,
--- a/crates/routing/tests/limit_fleet.rs
+++ b/crates/routing/tests/limit_fleet.rs
@@ -3,7 +3,7 @@
 //! derived from a seed.
 
 use dockwood_api::gateway::{RequestRate, ServerLimit, ServerStart};
-use dockwood_routing::pushback::{LimitObservation, LimitTable, NamedLimit, Turn, TurnBook, TurnShare};
+use dockwood_routing::pushback::{LimitObservation, LimitTable, NamedLimit, Turn, TurnAllocator, TurnShare};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
     now: u64,
     entries: Vec<Entry>,
     /// The daemons that allocate the limit: the second stands in for the first.
-    allocators: [(TurnBook, LimitTable); 2],
+    allocators: [(TurnAllocator, LimitTable); 2],
     messages: BTreeMap<(u64, u64), Message>,
     sent: u64,
     turn_requests: usize,
--- a/crates/routing/tests/turns.rs
+++ b/crates/routing/tests/turns.rs
@@ -1,7 +1,7 @@
 //! Allocation of turns for servers with a declared limit.
 
 use dockwood_api::gateway::{RequestRate, ServerStart};
-use dockwood_routing::pushback::{Turn, TurnBook, TurnShare, interval_ms};
+use dockwood_routing::pushback::{Turn, TurnAllocator, TurnShare, interval_ms};
 use yare::parameterized;
 
 const URGENT: u32 = 0;
@@ -13,7 +13,7 @@
 
 /// Times at which turns are granted if one is requested every millisecond.
 fn granted(
-    allocator: &mut TurnBook,
+    allocator: &mut TurnAllocator,
     rate: RequestRate,
     share: TurnShare,
     span: std::ops::Range<u64>,
@@ -41,7 +41,7 @@
 )]
 fn no_window_exceeds_the_rate_and_turns_are_not_wasted(thousandths: u64) {
     let rate = RequestRate::of_thousandths(thousandths);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, rate, TurnShare::Whole, 1_000..41_000);
     for from in &times {
         let within = times.iter().filter(|at| **at >= *from && **at < *from + 4_000).count() as f64;
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_server_with_rate_zero_still_gets_occasional_turns() {
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, RequestRate::of_thousandths(0), TurnShare::Whole, 0..60_000);
     assert!((4..=6).contains(&times.len()), "{times:?}");
 }
@@ -61,7 +61,7 @@
 #[test]
 fn a_stand_in_allocates_half_of_the_rate() {
     let rate = RequestRate::of_thousandths(10_000);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, rate, TurnShare::InPlaceOfAnother, 0..10_000);
     assert!((45..=51).contains(&times.len()), "{}", times.len());
 }
@@ -70,14 +70,14 @@
 #[test]
 fn senders_without_an_allocating_daemon_use_a_part_each() {
     let rate = RequestRate::of_thousandths(10_000);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, rate, TurnShare::Alone { senders: 20 }, 0..40_000);
     assert!((8..=10).contains(&times.len()), "{}", times.len());
 }
 
 #[test]
 fn a_changed_rate_applies_immediately() {
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     granted(&mut allocator, RequestRate::of_thousandths(100), TurnShare::Whole, 0..10_001);
     let risen =
         granted(&mut allocator, RequestRate::of_thousandths(10_000), TurnShare::Whole, 10_001..11_001);
@@ -89,7 +89,7 @@
 #[test]
 fn a_restarted_server_gets_a_new_schedule() {
     let rate = RequestRate::of_thousandths(1_000);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     granted(&mut allocator, rate, TurnShare::Whole, 0..5_000);
     let later = ServerStart { started_ms: Some(2), ..server() };
     assert!(matches!(allocator.take(5_000, &later, rate, TurnShare::Whole, NORMAL), Turn::NotBefore(_)));
@@ -99,7 +99,7 @@
 #[test]
 fn retries_of_waiting_senders_are_spread_out() {
     let rate = RequestRate::of_thousandths(2_500);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     let replies = (0..330).map(|_| allocator.take(0, &server(), rate, TurnShare::Whole, NORMAL));
     let mut times: Vec<u64> = replies
         .map(|turn| match turn {
@@ -116,7 +116,7 @@
 #[test]
 fn an_urgent_retry_takes_precedence() {
     let rate = RequestRate::of_thousandths(1_000);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     let mut request_turn = |now, rank| allocator.take(now, &server(), rate, TurnShare::Whole, rank);
     assert_eq!(request_turn(0, NORMAL), Turn::NotBefore(1_000));
     assert_eq!(request_turn(0, URGENT), Turn::NotBefore(1_250));
@@ -131,7 +131,7 @@
 #[test]
 fn granted_turns_are_reported_periodically_and_expire() {
     let rate = RequestRate::of_thousandths(2_000);
-    let mut allocator = TurnBook::default();
+    let mut allocator = TurnAllocator::default();
     granted(&mut allocator, rate, TurnShare::Whole, 0..5_000);
     assert_eq!(allocator.claim_telling(5_000, &server()), Some(7));
     assert_eq!(allocator.claim_telling(8_999, &server()), None);
