--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -169,7 +169,7 @@
 
 impl Drop for SendPermit {
     fn drop(&mut self) {
-        if self.kind != SendKind::Trial {
+        if self.kind != SendKind::Probe {
             return;
         }
         let mut table = lock(&self.shared.pushback.table);
--- a/crates/routing/src/pushback/table.rs
+++ b/crates/routing/src/pushback/table.rs
@@ -49,7 +49,7 @@
     /// A regular request.
     Usual,
     /// A probe after a backoff period: no other request is sent to the server while it is in flight.
-    Trial,
+    Probe,
 }
 
 /// A backoff period has started for a server that was not backing off.
@@ -120,7 +120,7 @@
         let held = self.servers.get_mut(&server.id).filter(|held| held.is_same_start(server));
         let Some(backoff) = held.and_then(|held| held.backoff.as_mut()) else { return Ok(SendKind::Usual) };
         backoff.probing = true;
-        Ok(SendKind::Trial)
+        Ok(SendKind::Probe)
     }
 
     /// Records the end of a probe. `accepted`: the server answered and asked for no further backoff. Returns
