--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -173,7 +173,7 @@
             return;
         }
         let mut table = lock(&self.shared.pushback.table);
-        let is_over = table.trial_ended(monotonic_ms(), &self.addressee.start, self.accepted);
+        let is_over = table.probe_ended(monotonic_ms(), &self.addressee.start, self.accepted);
         show(&self.shared.metrics, &table);
         drop(table);
         if is_over {
--- a/crates/routing/src/pushback/table.rs
+++ b/crates/routing/src/pushback/table.rs
@@ -112,7 +112,7 @@
     }
 
     /// Starts sending a request, if the server accepts one. Call this immediately before writing the request,
-    /// and call [`PushbackTable::trial_ended`] afterwards if it is a probe.
+    /// and call [`PushbackTable::probe_ended`] afterwards if it is a probe.
     pub fn begin_send(&mut self, now: Millis, server: &ServerStart) -> Result<SendKind, Hold> {
         if let Some(hold) = self.hold(now, server) {
             return Err(hold);
@@ -125,7 +125,7 @@
 
     /// Records the end of a probe. `accepted`: the server answered and asked for no further backoff. Returns
     /// true if this ends the backoff; otherwise the next request is another probe.
-    pub fn trial_ended(&mut self, now: Millis, server: &ServerStart, accepted: bool) -> bool {
+    pub fn probe_ended(&mut self, now: Millis, server: &ServerStart, accepted: bool) -> bool {
         let Some(held) = self.servers.get_mut(&server.id).filter(|held| held.is_same_start(server)) else {
             return false;
         };
--- a/crates/routing/tests/pushback.rs
+++ b/crates/routing/tests/pushback.rs
@@ -36,9 +36,9 @@
     let (mut table, server) = backing_off();
     assert_eq!(table.begin_send(4_000, &server), Ok(SendKind::Probe));
     assert!(matches!(table.begin_send(4_001, &server), Err(Hold::Probing { .. })));
-    assert!(!table.trial_ended(4_010, &server, false), "the probe was not answered");
+    assert!(!table.probe_ended(4_010, &server, false), "the probe was not answered");
     assert_eq!(table.begin_send(4_011, &server), Ok(SendKind::Probe));
-    assert!(table.trial_ended(4_020, &server, true));
+    assert!(table.probe_ended(4_020, &server, true));
     assert_eq!(table.begin_send(4_021, &server), Ok(SendKind::Usual));
 }
 
@@ -47,7 +47,7 @@
     let (mut table, server) = backing_off();
     assert_eq!(table.begin_send(4_000, &server), Ok(SendKind::Probe));
     assert!(table.note_rest(4_002, &server, 1_000, 0).is_some());
-    assert!(!table.trial_ended(4_002, &server, false));
+    assert!(!table.probe_ended(4_002, &server, false));
     assert_eq!(table.hold(5_001, &server), Some(Hold::Resting { until: 5_002 }));
 }
 
@@ -164,7 +164,7 @@
                 backoff_until = backoff_until.max(now + backoff_ms);
             }
             if kind == SendKind::Probe {
-                table.trial_ended(now, &server, answer == Some(None));
+                table.probe_ended(now, &server, answer == Some(None));
             }
         }
     }
