--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -119,7 +119,7 @@
         let (shared, now) = (&self.shared, monotonic_ms());
         let spread_ms = self.spread_ms(rest_ms);
         let mut table = lock(&shared.pushback.table);
-        let begun = table.note_rest(now, &self.addressee.start, rest_ms, spread_ms);
+        let begun = table.record_backoff(now, &self.addressee.start, rest_ms, spread_ms);
         show(&shared.metrics, &table);
         drop(table);
         if let Some(begun) = begun {
--- a/crates/routing/src/pushback/table.rs
+++ b/crates/routing/src/pushback/table.rs
@@ -143,7 +143,7 @@
     /// Records that a server asked for a backoff of `backoff_ms`. It is held for `spread_ms` more, which
     /// differs between daemons. A shorter period does not end a longer one. Returns the period if none was in
     /// progress.
-    pub fn note_rest(
+    pub fn record_backoff(
         &mut self,
         now: Millis,
         server: &ServerStart,
--- a/crates/routing/tests/pushback.rs
+++ b/crates/routing/tests/pushback.rs
@@ -14,7 +14,7 @@
 
 fn backing_off() -> (PushbackTable, ServerStart) {
     let (mut table, server) = (PushbackTable::default(), start("a", 1));
-    assert_eq!(table.note_rest(1_000, &server, BACKOFF_MS, 0), Some(BackoffStarted { until: 4_000 }));
+    assert_eq!(table.record_backoff(1_000, &server, BACKOFF_MS, 0), Some(BackoffStarted { until: 4_000 }));
     (table, server)
 }
 
@@ -46,7 +46,7 @@
 fn a_rejected_probe_starts_another_backoff() {
     let (mut table, server) = backing_off();
     assert_eq!(table.begin_send(4_000, &server), Ok(SendKind::Probe));
-    assert!(table.note_rest(4_002, &server, 1_000, 0).is_some());
+    assert!(table.record_backoff(4_002, &server, 1_000, 0).is_some());
     assert!(!table.probe_ended(4_002, &server, false));
     assert_eq!(table.hold(5_001, &server), Some(Hold::Resting { until: 5_002 }));
 }
@@ -55,9 +55,9 @@
 #[test]
 fn the_longest_backoff_applies() {
     let (mut table, server) = backing_off();
-    assert_eq!(table.note_rest(1_010, &server, 500, 0), None, "a backoff is in progress");
+    assert_eq!(table.record_backoff(1_010, &server, 500, 0), None, "a backoff is in progress");
     assert_eq!(table.hold(3_999, &server), Some(Hold::Resting { until: 4_000 }));
-    assert_eq!(table.note_rest(1_020, &server, BACKOFF_MS, 40), None);
+    assert_eq!(table.record_backoff(1_020, &server, BACKOFF_MS, 40), None);
     assert_eq!(table.hold(4_059, &server), Some(Hold::Resting { until: 4_060 }));
 }
 
@@ -72,7 +72,7 @@
         Some(Hold::Leaving),
         "the previous start is still known to be leaving"
     );
-    assert!(table.note_rest(1_100, &restarted, BACKOFF_MS, 0).is_some());
+    assert!(table.record_backoff(1_100, &restarted, BACKOFF_MS, 0).is_some());
     assert_eq!(table.hold(1_101, &server), None, "the previous start is no longer known");
 }
 
@@ -89,7 +89,7 @@
 #[test]
 fn the_maximum_backoff_does_not_overflow() {
     let (mut table, server) = (PushbackTable::default(), start("a", 1));
-    table.note_rest(1_000, &server, u64::MAX, u64::MAX);
+    table.record_backoff(1_000, &server, u64::MAX, u64::MAX);
     assert_eq!(table.begin_send(u64::MAX - 1, &server), Err(Hold::Resting { until: u64::MAX }));
 }
 
@@ -160,7 +160,7 @@
             let Ok(kind) = table.begin_send(now, &server) else { continue };
             prop_assert!(now >= backoff_until, "sent at {now}, during a backoff until {backoff_until}");
             if let Some(Some(backoff_ms)) = answer {
-                table.note_rest(now, &server, backoff_ms, 0);
+                table.record_backoff(now, &server, backoff_ms, 0);
                 backoff_until = backoff_until.max(now + backoff_ms);
             }
             if kind == SendKind::Probe {
