--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -153,7 +153,7 @@
         let mut budgets = lock(&self.budgets);
         let budget =
             budgets.entry(service.to_string()).or_insert_with(|| SendBudget::new(self.budget_limits));
-        let allowed = budget.try_second_send(crate::clock::monotonic_ms(), entries);
+        let allowed = budget.try_retry(crate::clock::monotonic_ms(), entries);
         if allowed {
             self.shared.metrics.retries.with_label_values(&[reason]).inc();
         } else {
--- a/crates/routing/src/gateway/budget.rs
+++ b/crates/routing/src/gateway/budget.rs
@@ -43,7 +43,7 @@
 
     /// Counts a retry and returns true, if it is within this entry's part; the fixed number is divided by
     /// `entries`.
-    pub fn try_second_send(&mut self, now: Millis, entries: u64) -> bool {
+    pub fn try_retry(&mut self, now: Millis, entries: u64) -> bool {
         self.expire(now);
         let share = self.requests.len() as u64 * self.limits.percent * USABLE_PERCENT / 10_000;
         let extra = self.limits.extra * USABLE_PERCENT / 100 / entries.max(1);
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -189,7 +189,7 @@
             if is_request {
                 entries[entry].record_request(now);
                 requests.push(now);
-            } else if entries[entry].try_second_send(now, 4) {
+            } else if entries[entry].try_retry(now, 4) {
                 sends.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|at| now < **at + 10_000).count() as u64;
