--- a/crates/daemon/src/gateway/stalls.rs
+++ b/crates/daemon/src/gateway/stalls.rs
@@ -44,9 +44,9 @@
         return std::future::pending().await;
     };
     let silent = async {
-        let suspicious_at = since + Duration::from_millis(silence.suspicious_ms);
+        let suspicious_at = since + Duration::from_millis(silence.suspect_after_ms);
         tokio::time::sleep_until(suspicious_at).await;
-        if !gateway.loads.progressed_within(place.epoch, silence.suspicious_ms) {
+        if !gateway.loads.progressed_within(place.epoch, silence.suspect_after_ms) {
             gateway.loads.suspect(place.epoch, false);
         }
         tokio::time::sleep_until(suspicious_at + Duration::from_millis(silence.patience_ms)).await;
