--- a/crates/daemon/src/gateway/stalls.rs
+++ b/crates/daemon/src/gateway/stalls.rs
@@ -49,7 +49,7 @@
         if !gateway.loads.progressed_within(place.epoch, silence.suspect_after_ms) {
             gateway.loads.suspect(place.epoch, false);
         }
-        tokio::time::sleep_until(suspicious_at + Duration::from_millis(silence.patience_ms)).await;
+        tokio::time::sleep_until(suspicious_at + Duration::from_millis(silence.grace_ms)).await;
         // Where the group goes on with others, this request may rightly wait for its turn.
         while gateway.loads.progressed_within(place.epoch, PROGRESS_SPAN_MS) {
             tokio::time::sleep(PROGRESS_PAUSE).await;
--- a/crates/routing/src/gateway/stall_detection.rs
+++ b/crates/routing/src/gateway/stall_detection.rs
@@ -83,25 +83,25 @@
     /// After this time the group is suspected: it is avoided for new requests, and its members are probed.
     pub suspect_after_ms: Millis,
     /// Grace period after that, before the stream fails over to another group.
-    pub patience_ms: Millis,
+    pub grace_ms: Millis,
 }
 
 impl StallTimeout {
     /// Low confidence: the stream waits for the same time again before it fails over.
     fn with_full_grace(suspect_after_ms: f64) -> StallTimeout {
-        let patience_ms = suspect_after_ms.max(MIN_GRACE_MS);
-        StallTimeout { suspect_after_ms: suspect_after_ms as Millis, patience_ms: patience_ms as Millis }
+        let grace_ms = suspect_after_ms.max(MIN_GRACE_MS);
+        StallTimeout { suspect_after_ms: suspect_after_ms as Millis, grace_ms: grace_ms as Millis }
     }
 
     /// High confidence: the stream fails over after a short grace period.
     fn with_short_grace(suspect_after_ms: f64) -> StallTimeout {
-        let patience_ms = suspect_after_ms * CONFIDENT_GRACE_FACTOR;
-        StallTimeout { suspect_after_ms: suspect_after_ms as Millis, patience_ms: patience_ms as Millis }
+        let grace_ms = suspect_after_ms * CONFIDENT_GRACE_FACTOR;
+        StallTimeout { suspect_after_ms: suspect_after_ms as Millis, grace_ms: grace_ms as Millis }
     }
 
     /// Total time until the stream fails over.
     fn total_ms(&self) -> f64 {
-        (self.suspect_after_ms + self.patience_ms) as f64
+        (self.suspect_after_ms + self.grace_ms) as f64
     }
 }
 
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -244,7 +244,7 @@
         observed.between_events.record(100.0);
         observed.first_event.record(200.0);
     }
-    let silence = |suspect_after_ms, patience_ms| StallTimeout { suspect_after_ms, patience_ms };
+    let silence = |suspect_after_ms, grace_ms| StallTimeout { suspect_after_ms, grace_ms };
     assert_eq!(
         pace(&observed),
         StallTimeouts { between_events: silence(125, 150), first_event: silence(250, 250) }
@@ -273,13 +273,13 @@
     let in_time = pace(&observed(80.0, 70.0, 1_000)).between_events;
     assert_eq!(
         in_time,
-        StallTimeout { suspect_after_ms: 90, patience_ms: 11 },
+        StallTimeout { suspect_after_ms: 90, grace_ms: 11 },
         "within the target gap, after 171 of 200 ms"
     );
     let too_late = pace(&observed(160.0, 70.0, 1_000)).between_events;
-    assert_eq!(too_late, StallTimeout { suspect_after_ms: 200, patience_ms: 200 });
+    assert_eq!(too_late, StallTimeout { suspect_after_ms: 200, grace_ms: 200 });
     let few_samples = pace(&observed(80.0, 70.0, 100)).between_events;
-    assert_eq!(few_samples, StallTimeout { suspect_after_ms: 100, patience_ms: 150 });
+    assert_eq!(few_samples, StallTimeout { suspect_after_ms: 100, grace_ms: 150 });
 }
 
 #[test]
