--- a/crates/routing/src/gateway/stall_detection.rs
+++ b/crates/routing/src/gateway/stall_detection.rs
@@ -147,9 +147,9 @@
     observed_gap: f64,
 ) -> Option<StallTimeout> {
     let is_confident = observed.between_events.is_confident() && observed.first_event.peak_ms().is_some();
-    let silence = StallTimeout::with_short_grace(
+    let timeout = StallTimeout::with_short_grace(
         (observed_gap * CONFIDENT_MARGIN_PERCENT / 100.0).max(MIN_THRESHOLD_MS),
     );
-    let expected_gap_ms = silence.total_ms() + observed.first_event.mean_ms;
-    (is_confident && expected_gap_ms <= route.target_gap_ms as f64).then_some(silence)
+    let expected_gap_ms = timeout.total_ms() + observed.first_event.mean_ms;
+    (is_confident && expected_gap_ms <= route.target_gap_ms as f64).then_some(timeout)
 }
--- a/crates/routing/src/pushback/limits.rs
+++ b/crates/routing/src/pushback/limits.rs
@@ -161,7 +161,7 @@
     /// Holds a server back until the time given by the daemon that allocates its limit.
     pub fn hold(&mut self, server: &ServerStart, until: Millis) {
         if let Some(known) =
-            self.servers.get_mut(&server.id).filter(|one| one.started_ms == server.started_ms)
+            self.servers.get_mut(&server.id).filter(|known| known.started_ms == server.started_ms)
         {
             known.held_until = until;
         }
@@ -178,12 +178,14 @@
         &mut self,
         now: Millis,
         server: &ServerStart,
-        heard: LimitObservation,
+        observation: LimitObservation,
     ) -> Option<LimitChange> {
-        match heard.named {
+        match observation.named {
             NamedLimit::Unreadable => None,
-            NamedLimit::Rate(rate) => self.record_limit(now, server, rate, heard.sent_at),
-            NamedLimit::Absent if heard.may_end_limit => self.record_no_limit(now, server, heard.sent_at),
+            NamedLimit::Rate(rate) => self.record_limit(now, server, rate, observation.sent_at),
+            NamedLimit::Absent if observation.may_end_limit => {
+                self.record_no_limit(now, server, observation.sent_at)
+            }
             NamedLimit::Absent => None,
         }
     }
--- a/crates/routing/tests/gateway.rs
+++ b/crates/routing/tests/gateway.rs
@@ -113,9 +113,9 @@
     failed = { SendOutcome::Failed, false },
 )]
 fn at_most_once_requests_are_resent_only_if_known_not_to_have_run(outcome: SendOutcome, resent: bool) {
-    let mut course = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
-    assert!(!course.may_move());
-    assert_eq!(course.ended(outcome) == RetryDecision::SendAgain, resent);
+    let mut attempts = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
+    assert!(!attempts.may_move());
+    assert_eq!(attempts.ended(outcome) == RetryDecision::SendAgain, resent);
 }
 
 proptest! {
@@ -126,7 +126,7 @@
         let kinds = [RouteKind::Repeatable, RouteKind::AtMostOnce, RouteKind::Stream];
         let route = Route { resumable, ..route("r", "/a/", kinds[kind as usize]) };
         let max_executions = if route.is_repeatable() { route.max_attempts } else { 1 };
-        let mut course = RequestAttempts::new(&route);
+        let mut attempts = RequestAttempts::new(&route);
         let mut possible_executions = 0;
         for number in outcomes {
             let outcome = [
@@ -137,7 +137,7 @@
                 SendOutcome::Abandoned,
             ][number as usize];
             possible_executions += u32::from(!matches!(outcome, SendOutcome::NotSent | SendOutcome::SaidNotRun));
-            match course.ended(outcome) {
+            match attempts.ended(outcome) {
                 RetryDecision::SendAgain => prop_assert!(possible_executions < max_executions),
                 RetryDecision::GiveUp(give_up) => {
                     prop_assert_eq!(give_up.not_run, possible_executions == 0);
@@ -217,7 +217,7 @@
     assert_eq!(choose(&[], |_| 0), None);
 }
 
-fn pace(observed: &ObservedLatency) -> StallTimeouts {
+fn stall_timeouts(observed: &ObservedLatency) -> StallTimeouts {
     let engine = EngineProfile {
         slots: 10,
         step_ms: 9.0,
@@ -236,7 +236,7 @@
 fn stall_timeouts_use_the_declared_pass_time_until_there_are_enough_samples() {
     let mut observed = ObservedLatency::default();
     assert_eq!(
-        pace(&observed).between_events.suspect_after_ms,
+        stall_timeouts(&observed).between_events.suspect_after_ms,
         375,
         "5 steps of 10 ms with 50 ms of prefill each, plus the margin"
     );
@@ -244,14 +244,14 @@
         observed.between_events.record(100.0);
         observed.first_event.record(200.0);
     }
-    let silence = |suspect_after_ms, grace_ms| StallTimeout { suspect_after_ms, grace_ms };
+    let timeout = |suspect_after_ms, grace_ms| StallTimeout { suspect_after_ms, grace_ms };
     assert_eq!(
-        pace(&observed),
-        StallTimeouts { between_events: silence(125, 150), first_event: silence(250, 250) }
+        stall_timeouts(&observed),
+        StallTimeouts { between_events: timeout(125, 150), first_event: timeout(250, 250) }
     );
     observed.between_events.record(5_000.0);
     assert_eq!(
-        pace(&observed).between_events.suspect_after_ms,
+        stall_timeouts(&observed).between_events.suspect_after_ms,
         375,
         "an observed stall does not raise the timeout above the declared pass time"
     );
@@ -270,21 +270,21 @@
         }
         observed
     };
-    let in_time = pace(&observed(80.0, 70.0, 1_000)).between_events;
+    let in_time = stall_timeouts(&observed(80.0, 70.0, 1_000)).between_events;
     assert_eq!(
         in_time,
         StallTimeout { suspect_after_ms: 90, grace_ms: 11 },
         "within the target gap, after 171 of 200 ms"
     );
-    let too_late = pace(&observed(160.0, 70.0, 1_000)).between_events;
+    let too_late = stall_timeouts(&observed(160.0, 70.0, 1_000)).between_events;
     assert_eq!(too_late, StallTimeout { suspect_after_ms: 200, grace_ms: 200 });
-    let few_samples = pace(&observed(80.0, 70.0, 100)).between_events;
+    let few_samples = stall_timeouts(&observed(80.0, 70.0, 100)).between_events;
     assert_eq!(few_samples, StallTimeout { suspect_after_ms: 100, grace_ms: 150 });
 }
 
 #[test]
 fn expired_requests_are_reported_not_run_only_if_never_sent() {
-    let course = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
-    assert_eq!(course.out_of_time(false).code, ResultCode::DeadlineInQueue);
-    assert_eq!(course.out_of_time(true).code, ResultCode::DeadlinePassed);
+    let attempts = RequestAttempts::new(&route("r", "/a/", RouteKind::AtMostOnce));
+    assert_eq!(attempts.out_of_time(false).code, ResultCode::DeadlineInQueue);
+    assert_eq!(attempts.out_of_time(true).code, ResultCode::DeadlinePassed);
 }
