--- a/crates/daemon/src/gateway/stalls.rs
+++ b/crates/daemon/src/gateway/stalls.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use super::source::Source;
-use dockwood_routing::gateway::{SendOutcome, Silence};
+use dockwood_routing::gateway::{SendOutcome, StallTimeout};
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -37,19 +37,19 @@
     gateway: &Gateway,
     source: &Source,
     since: Instant,
-    silence: Option<Silence>,
+    silence: Option<StallTimeout>,
     changes: &mut watch::Receiver<u64>,
 ) {
     let (Source::Group(place), Some(silence)) = (source, silence) else {
         return std::future::pending().await;
     };
     let silent = async {
-        let suspicious_at = since + Duration::from_millis(silence.suspicious_ms);
+        let suspicious_at = since + Duration::from_millis(silence.suspect_after_ms);
         tokio::time::sleep_until(suspicious_at).await;
-        if !gateway.loads.progressed_within(place.epoch, silence.suspicious_ms) {
+        if !gateway.loads.progressed_within(place.epoch, silence.suspect_after_ms) {
             gateway.loads.suspect(place.epoch, false);
         }
-        tokio::time::sleep_until(suspicious_at + Duration::from_millis(silence.patience_ms)).await;
+        tokio::time::sleep_until(suspicious_at + Duration::from_millis(silence.grace_ms)).await;
         // Where the group goes on with others, this request may rightly wait for its turn.
         while gateway.loads.progressed_within(place.epoch, PROGRESS_SPAN_MS) {
             tokio::time::sleep(PROGRESS_PAUSE).await;
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -17,7 +17,9 @@
 use bytes::Bytes;
 use choosing::Taken;
 use dockwood_api::ResultCode;
-use dockwood_routing::gateway::{Course, EventSplitter, GiveUp, Pace, SendOutcome, Silence, Verdict};
+use dockwood_routing::gateway::{
+    EventSplitter, GiveUp, RequestAttempts, RetryDecision, SendOutcome, StallTimeout, StallTimeouts,
+};
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -57,8 +59,8 @@
     gateway: Arc<Gateway>,
     received: Received,
     account: RequestAccount,
-    course: Course,
-    pace: Option<Pace>,
+    course: RequestAttempts,
+    pace: Option<StallTimeouts>,
     reading: Option<Reading>,
     head: Option<Head>,
     /// The last event passed on.
@@ -91,13 +93,13 @@
     let model = engine.zip(received.model.as_ref()).and_then(|(engine, name)| engine.model(name));
     let pace = engine.zip(model).map(|(engine, model)| {
         let seen = gateway.loads.pace_estimates(&model.name);
-        Pace::expected(engine, model, &received.route, &seen)
+        StallTimeouts::expected(engine, model, &received.route, &seen)
     });
     if let Some(model) = model {
         gateway.loads.arrived(&received.service.name, &model.name, received.prompt_tokens);
     }
     let mut course = StreamCourse {
-        course: Course::new(&received.route),
+        course: RequestAttempts::new(&received.route),
         last_event: received.last_event,
         gate: received.suspect_gate(&gateway.shared),
         taken: Taken::default(),
@@ -178,8 +180,8 @@
             self.gate.server_ended();
         }
         match self.course.ended(outcome) {
-            Verdict::SendAgain => Ok(()),
-            Verdict::GiveUp(told) => Err(told),
+            RetryDecision::SendAgain => Ok(()),
+            RetryDecision::GiveUp(told) => Err(told),
         }
     }
 
@@ -217,7 +219,7 @@
     }
 
     /// How long the source may be silent for it not to count as standing still.
-    fn silence(&self) -> Option<Silence> {
+    fn silence(&self) -> Option<StallTimeout> {
         let pace = self.pace?;
         Some(if self.awaits_first { pace.first_event } else { pace.between_events })
     }
--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use dockwood_routing::Millis;
 use dockwood_routing::pushback::{
-    AnswerSignals, Heard, Hold, LeavingMark, RequestRate, SendKind, return_spread_ms,
+    AnswerSignals, Hold, LeavingMark, LimitObservation, RequestRate, SendKind, return_spread_ms,
 };
 use rand::RngExt;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
     fn note_limit(&self, signals: &AnswerSignals, request: &str) {
         let is_own_word = signals.status < FIRST_FAILURE && signals.status != TOO_MANY_REQUESTS;
         let may_end_limit = self.may_end_limit && is_own_word;
-        let heard = Heard { named: signals.limit, sent_at: self.given_at, may_end_limit };
+        let heard = LimitObservation { named: signals.limit, sent_at: self.given_at, may_end_limit };
         let pushback = &self.shared.pushback;
         let mut limits = lock(&pushback.limits);
         let change = limits.heard(monotonic_ms(), &self.addressee.start, heard);
@@ -119,7 +119,7 @@
         let (shared, now) = (&self.shared, monotonic_ms());
         let spread_ms = self.spread_ms(rest_ms);
         let mut table = lock(&shared.pushback.table);
-        let begun = table.note_rest(now, &self.addressee.start, rest_ms, spread_ms);
+        let begun = table.record_backoff(now, &self.addressee.start, rest_ms, spread_ms);
         show(&shared.metrics, &table);
         drop(table);
         if let Some(begun) = begun {
@@ -169,11 +169,11 @@
 
 impl Drop for SendPermit {
     fn drop(&mut self) {
-        if self.kind != SendKind::Trial {
+        if self.kind != SendKind::Probe {
             return;
         }
         let mut table = lock(&self.shared.pushback.table);
-        let is_over = table.trial_ended(monotonic_ms(), &self.addressee.start, self.accepted);
+        let is_over = table.probe_ended(monotonic_ms(), &self.addressee.start, self.accepted);
         show(&self.shared.metrics, &table);
         drop(table);
         if is_over {
