--- a/crates/daemon/src/pushback/headers.rs
+++ b/crates/daemon/src/pushback/headers.rs
@@ -1,20 +1,20 @@
-//! Reads an answer's headers.
+//! Parses the pushback headers of a response.
 
 use dockwood_routing::pushback::{AnswerSignals, LeavingMark, NamedLimit, RetryAfter};
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use std::time::SystemTime;
 
-/// Names of the headers by which servers ask for something, in lower case.
+/// Names of the response headers that carry pushback signals, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct SignalHeaders {
-    /// Says that the server is about to leave: `1`.
+    /// Announces that the server is about to shut down: `1`.
     pub leaving: &'static str,
-    /// Requests a second that the server takes from all senders together, as a decimal number.
+    /// Rate limit of the server for all senders combined, in requests per second, as a decimal number.
     pub limit: &'static str,
 }
 
-/// What a server's answer asks of its receiver.
+/// Returns the pushback signals of a response.
 pub fn signals_of(status: StatusCode, headers: &HeaderMap, names: &SignalHeaders) -> AnswerSignals {
     let values = |name: HeaderName| headers.get_all(name).into_iter().map(HeaderValue::as_bytes);
     AnswerSignals {
--- a/crates/daemon/src/pushback/mod.rs
+++ b/crates/daemon/src/pushback/mod.rs
@@ -1,21 +1,21 @@
-//! Servers that asked for rest, said that they leave, or named a limit, as a daemon that sends to servers deals with them.
-//! Whatever sends something to a server passes over those that are held back when it chooses, and asks for a [`SendPermit`]
-//! at the moment of writing; the permit learns from the answer's head, whatever becomes of the answer.
+//! Server pushback on the sending side: `Retry-After` back-off, announced shutdown and rate limits.
+//! A sender skips servers on hold when it selects one, and acquires a [`SendPermit`] immediately before it writes the
+//! request. The permit records the pushback signals of the response head, whatever happens to the rest of the response.
 //!
-//! For rest and departures each daemon goes by what it was told itself: a server asks the one that it answers, and may ask
-//! others for another time or not at all. A limit is the whole fleet's: daemons tell each other of it, and ask one of them
-//! before each request to that server.
+//! Back-off and shutdown are local to each daemon: a server addresses them to the daemon that it responds to, and may send
+//! another daemon a different time or nothing. A rate limit applies to the whole fleet: daemons exchange the limits they
+//! know, and ask one daemon, the limiter of that server, before each request to it.
 
+mod events;
 mod headers;
+mod limit_sync;
 mod permit;
-mod sharing;
-mod telling;
-mod turns;
+mod rate_limit;
 mod unavailable;
 
 pub use headers::{SignalHeaders, signals_of};
+pub use limit_sync::run_sharing;
 pub use permit::{SendPermit, SendPurpose};
-pub use sharing::run_sharing;
 pub use unavailable::{AllHeld, Unavailable};
 
 use crate::clock::monotonic_ms;
@@ -30,85 +30,85 @@
 use std::sync::Mutex;
 use tokio::sync::Notify;
 
-/// Servers that this daemon holds back.
+/// Pushback state of the servers that this daemon sends to.
 #[derive(Debug, Default)]
 pub struct Pushback {
     table: Mutex<PushbackTable>,
     limits: Mutex<LimitTable>,
-    /// Turns that are given here, to servers whose limits this daemon shares out.
-    turns: Mutex<TurnBook>,
-    /// Turns that this daemon takes by itself, as nobody gives it any.
-    own_turns: Mutex<TurnBook>,
-    /// Other daemons are to be told of a limit.
-    news: Notify,
+    /// Rate limiters of the servers for which this daemon is the limiter.
+    limiters: Mutex<TurnBook>,
+    /// Rate limiters of this daemon's own requests, used while no limiter responds.
+    fallback_limiters: Mutex<TurnBook>,
+    /// Signals a change of a limit that other daemons have to learn.
+    limit_changed: Notify,
     line_budget: Mutex<LineBudget>,
 }
 
-/// A server that something is to be sent to.
+/// A server as the destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Addressee {
-    /// Which start of it.
+    /// Server id and start time, which identify one run of the server.
     pub start: ServerStart,
-    /// Epoch of the group that it heads, if it heads one: it speaks for the group.
+    /// Epoch of the group that it is the head of, if any: its signals apply to the group.
     pub group: Option<u64>,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub places: u32,
-    /// Its zone, where it is known.
+    /// Its zone, if known.
     pub zone: Option<String>,
 }
 
 impl Addressee {
-    /// A server that registered itself.
+    /// Returns the destination for a server that registered itself.
     pub fn instance(row: &InstanceRow) -> Addressee {
         Addressee { start: start_of(row), group: None, places: row.slots, zone: Some(row.zone.clone()) }
     }
 
-    /// The head of a group that works on so many requests at once.
+    /// Returns the destination for the head of a group that processes `places` requests concurrently.
     pub fn head(row: &GroupRow, places: u32) -> Addressee {
         Addressee { start: head_of(row), group: Some(row.epoch), places, zone: Some(row.zone.clone()) }
     }
 
-    /// A server that is known by its name alone.
+    /// Returns the destination for a server of which only the name is known.
     pub fn named(name: &str, places: u32) -> Addressee {
         let start = ServerStart { id: name.to_string(), started_ms: None };
         Addressee { start, group: None, places, zone: None }
     }
 
-    /// A server that is known by its address alone.
+    /// Returns the destination for a server of which only the address is known.
     pub fn at(address: SocketAddr, places: u32) -> Addressee {
         Addressee::named(&address.to_string(), places)
     }
 }
 
-/// Which start of a registered server a row is about.
+/// Returns the id and start time of a registered server.
 pub fn start_of(row: &InstanceRow) -> ServerStart {
     ServerStart { id: row.id.clone(), started_ms: row.started_ms }
 }
 
-/// The head of a group.
+/// Returns the id and start time of the head of a group.
 pub fn head_of(row: &GroupRow) -> ServerStart {
     let id = row.members.first().cloned().unwrap_or_default();
     ServerStart { id, started_ms: row.head_started_ms }
 }
 
 impl Pushback {
-    /// Why a server is sent nothing now; `None` if it may be chosen.
+    /// Returns why a server is on hold; `None` if it may be selected.
     pub fn hold(&self, server: &ServerStart) -> Option<Hold> {
         let now = monotonic_ms();
         let held = lock(&self.table).hold(now, server);
-        held.or_else(|| self.at_limit(now, server))
+        held.or_else(|| self.rate_limit_hold(now, server))
     }
 
-    fn at_limit(&self, now: Millis, server: &ServerStart) -> Option<Hold> {
+    fn rate_limit_hold(&self, now: Millis, server: &ServerStart) -> Option<Hold> {
         lock(&self.limits).held_until(now, server).map(|until| Hold::AtLimit { until })
     }
 
-    /// How many requests a second a server takes from all daemons together; `None` for whatever comes.
+    /// Returns the rate limit of a server for all daemons combined; `None` if it has none.
     pub fn limit(&self, server: &ServerStart) -> Option<RequestRate> {
         lock(&self.limits).rate(monotonic_ms(), server)
     }
 
-    /// Tells servers that may be asked from those that are held back. `start_of` gives which start of a server is meant.
+    /// Separates servers that may be selected from those on hold. `start_of` returns the id and start time of a server.
     pub fn split<Server>(
         &self,
         servers: impl Iterator<Item = Server>,
@@ -129,35 +129,35 @@
         (open, held)
     }
 
-    /// Whether nobody asked for anything: then there is nothing to look up.
+    /// Returns whether no server has pushed back, so that callers can skip the lookups.
     pub fn is_empty(&self) -> bool {
         lock(&self.table).is_empty() && lock(&self.limits).is_empty()
     }
 
-    /// Forgets servers that are gone, and shows how many are held back.
+    /// Removes servers that no longer exist, and updates the metrics of servers on hold.
     pub fn follow(&self, metrics: &Metrics, tables: &GatewayTables) {
         let now = monotonic_ms();
         let heads = tables.groups.values().filter_map(|group| group.members.first());
         let known: HashSet<&str> = tables.instances.keys().chain(heads).map(String::as_str).collect();
         let mut limits = lock(&self.limits);
         limits.retain_known(now, |id| known.contains(id));
-        show_limits(metrics, &limits);
+        update_limit_metric(metrics, &limits);
         drop(limits);
-        lock(&self.turns).forget_old(now);
-        lock(&self.own_turns).forget_old(now);
+        lock(&self.limiters).forget_old(now);
+        lock(&self.fallback_limiters).forget_old(now);
         let mut table = lock(&self.table);
         table.retain_known(now, |id| known.contains(id));
-        show(metrics, &table);
+        update_hold_metrics(metrics, &table);
     }
 }
 
-/// Shows how many servers name a limit.
-fn show_limits(metrics: &Metrics, limits: &LimitTable) {
+/// Updates the metric of servers with a rate limit.
+fn update_limit_metric(metrics: &Metrics, limits: &LimitTable) {
     metrics.servers_held_back.with_label_values(&["limited"]).set(limits.count() as i64);
 }
 
-/// Shows how many servers are held back.
-fn show(metrics: &Metrics, table: &PushbackTable) {
+/// Updates the metrics of servers on hold for back-off or shutdown.
+fn update_hold_metrics(metrics: &Metrics, table: &PushbackTable) {
     let (resting, leaving) = table.counts(monotonic_ms());
     metrics.servers_held_back.with_label_values(&["resting"]).set(resting as i64);
     metrics.servers_held_back.with_label_values(&["leaving"]).set(leaving as i64);
--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -1,7 +1,7 @@
-//! The leave to write one request to one server.
+//! Permission to send one request to one server.
 
-use super::turns::{TurnAnswer, ask_for_turn};
-use super::{Addressee, show, show_limits};
+use super::rate_limit::{GrantDecision, request_grant};
+use super::{Addressee, update_hold_metrics, update_limit_metric};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::shared::Shared;
@@ -12,43 +12,44 @@
 use rand::RngExt;
 use std::sync::Arc;
 
-/// From this status on an answer need not come from the server's own code, so that its silence on a limit says nothing.
-const FIRST_FAILURE: u16 = 500;
-/// Too Many Requests: the same.
+/// Lowest status of server errors. These may come from an intermediary instead of the server, so that a missing limit
+/// header does not mean that the limit has ended.
+const FIRST_SERVER_ERROR: u16 = 500;
+/// Status Too Many Requests, which may come from an intermediary as well.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// What is to be written.
+/// What a permit is acquired for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPurpose {
-    /// A request, of this rank; the most urgent has 0. It counts against a limit that the server named, whatever comes of it.
+    /// A request. It counts against the server's rate limit, whatever its result.
     Request {
-        /// The rank.
+        /// Priority of the request; 0 is the most urgent.
         rank: u32,
     },
-    /// A question about the server itself. It takes no part of what the server works on, and a server must not be taken for
-    /// dead because its limit is used up.
+    /// A query on the state of the server itself. It is exempt from the rate limit: it takes no request capacity, and a
+    /// server must not count as dead because its limit is used up.
     Question,
 }
 
-/// The leave to write one request to one server. It learns from the head of the answer.
+/// Permission to send one request to one server. It records the pushback signals of the response head.
 pub struct SendPermit {
     shared: Arc<Shared>,
     addressee: Addressee,
     kind: SendKind,
-    /// When it was given.
-    given_at: Millis,
-    /// Whether an answer that names no limit shows that there is none.
+    /// When the permit was acquired.
+    acquired_at: Millis,
+    /// Whether a response without a limit header means that the server has no limit.
     may_end_limit: bool,
-    /// The server answered the trial that this is, and asked for no more rest.
+    /// The server responded and requested no further back-off.
     accepted: bool,
 }
 
 impl SendPermit {
-    /// Asks for leave, at the moment of writing: other answers may have come since the server was chosen, and the process
-    /// may have been stopped. The request is to be written at once.
+    /// Acquires a permit. Called immediately before the request is written: since the server was selected, other responses
+    /// may have arrived, or the process may have been suspended.
     ///
     /// # Errors
-    /// Why the server is sent nothing.
+    /// Returns why the server is on hold.
     pub async fn ask(
         shared: &Arc<Shared>,
         addressee: Addressee,
@@ -57,90 +58,90 @@
         if let (SendPurpose::Request { rank }, Some(rate)) =
             (purpose, shared.pushback.limit(&addressee.start))
         {
-            // A turn that could not be used would be lost.
+            // A grant for a server on hold would be wasted.
             let is_held = lock(&shared.pushback.table).hold(monotonic_ms(), &addressee.start).is_some();
             if !is_held {
-                take_turn(shared, &addressee, rate, rank).await?;
+                acquire_grant(shared, &addressee, rate, rank).await?;
             }
         }
         let now = monotonic_ms();
-        let begun = lock(&shared.pushback.table).begin_send(now, &addressee.start);
-        if begun.is_err() {
+        let send_kind = lock(&shared.pushback.table).begin_send(now, &addressee.start);
+        if send_kind.is_err() {
             shared.metrics.held_back.with_label_values(&["stopped"]).inc();
         }
         let may_end_limit = matches!(purpose, SendPurpose::Request { .. });
         Ok(SendPermit {
             shared: shared.clone(),
             addressee,
-            kind: begun?,
-            given_at: now,
+            kind: send_kind?,
+            acquired_at: now,
             may_end_limit,
             accepted: false,
         })
     }
 
-    /// Leave to read on from a run that the server has already: that is no new request.
+    /// Returns a permit to continue reading a request that the server already runs: this is no new request.
     pub fn of_running(shared: &Arc<Shared>, addressee: Addressee) -> SendPermit {
-        let (kind, given_at) = (SendKind::Usual, monotonic_ms());
+        let (kind, acquired_at) = (SendKind::Usual, monotonic_ms());
         let shared = shared.clone();
-        SendPermit { shared, addressee, kind, given_at, may_end_limit: false, accepted: false }
+        SendPermit { shared, addressee, kind, acquired_at, may_end_limit: false, accepted: false }
     }
 
-    /// Learns from the head of the answer to `request`. What an answer asks of its receiver holds also if the answer itself
-    /// is of no use: if its body breaks off, belongs to another request, or is not passed on.
+    /// Records the pushback signals of the response to `request`. They hold even if the response itself is unusable:
+    /// if its body is truncated, belongs to another request, or is not forwarded.
     pub fn answered(&mut self, signals: &AnswerSignals, request: &str) {
         self.accepted = signals.pushback_ms().is_none();
-        self.count(signals);
-        if let Some(rest_ms) = signals.pushback_ms() {
-            self.note_rest(rest_ms, signals.status, request);
+        self.count_signals(signals);
+        if let Some(retry_after_ms) = signals.pushback_ms() {
+            self.update_backoff(retry_after_ms, signals.status, request);
         }
         if signals.leaving == LeavingMark::Leaving {
-            self.note_leaving(request);
+            self.update_leaving(request);
         }
-        self.note_limit(signals, request);
+        self.update_limit(signals, request);
     }
 
-    fn note_limit(&self, signals: &AnswerSignals, request: &str) {
-        let is_own_word = signals.status < FIRST_FAILURE && signals.status != TOO_MANY_REQUESTS;
-        let may_end_limit = self.may_end_limit && is_own_word;
-        let heard = Heard { named: signals.limit, sent_at: self.given_at, may_end_limit };
+    fn update_limit(&self, signals: &AnswerSignals, request: &str) {
+        let is_from_server = signals.status < FIRST_SERVER_ERROR && signals.status != TOO_MANY_REQUESTS;
+        let may_end_limit = self.may_end_limit && is_from_server;
+        let heard = Heard { named: signals.limit, sent_at: self.acquired_at, may_end_limit };
         let pushback = &self.shared.pushback;
         let mut limits = lock(&pushback.limits);
         let change = limits.heard(monotonic_ms(), &self.addressee.start, heard);
         let Some(change) = change else { return };
-        show_limits(&self.shared.metrics, &limits);
+        update_limit_metric(&self.shared.metrics, &limits);
         drop(limits);
-        pushback.news.notify_one();
-        let cause = format!("told with {}{}", signals.status, self.cause(request));
-        pushback.tell_limit(&self.shared, &self.addressee.start, change, &cause);
+        pushback.limit_changed.notify_one();
+        let context = format!("told with {}{}", signals.status, self.event_context(request));
+        pushback.record_limit_change(&self.shared, &self.addressee.start, change, &context);
     }
 
-    fn note_rest(&self, rest_ms: Millis, status: u16, request: &str) {
+    fn update_backoff(&self, retry_after_ms: Millis, status: u16, request: &str) {
         let (shared, now) = (&self.shared, monotonic_ms());
-        let spread_ms = self.spread_ms(rest_ms);
+        let jitter_ms = self.jitter_ms(retry_after_ms);
         let mut table = lock(&shared.pushback.table);
-        let begun = table.note_rest(now, &self.addressee.start, rest_ms, spread_ms);
-        show(&shared.metrics, &table);
+        let backoff = table.note_rest(now, &self.addressee.start, retry_after_ms, jitter_ms);
+        update_hold_metrics(&shared.metrics, &table);
         drop(table);
-        if let Some(begun) = begun {
-            self.tell_rest(rest_ms, status, begun.until.saturating_sub(now), request);
+        if let Some(backoff) = backoff {
+            self.record_backoff(retry_after_ms, status, backoff.until.saturating_sub(now), request);
         }
     }
 
-    /// For how much longer than it asked a server is held back here, so that not all daemons come back at one moment.
-    fn spread_ms(&self, rest_ms: Millis) -> Millis {
+    /// Returns a random extension of a back-off, so that daemons do not all resume at the same time.
+    fn jitter_ms(&self, retry_after_ms: Millis) -> Millis {
         let entries = self.shared.dispatchers.entries(&self.shared.tables());
-        let most_ms = return_spread_ms(rest_ms, entries, self.addressee.places);
-        rand::rng().random_range(0..=most_ms)
+        let max_jitter_ms = return_spread_ms(retry_after_ms, entries, self.addressee.places);
+        rand::rng().random_range(0..=max_jitter_ms)
     }
 
-    fn note_leaving(&self, request: &str) {
+    fn update_leaving(&self, request: &str) {
         let mut table = lock(&self.shared.pushback.table);
         let is_new = table.note_leaving(&self.addressee.start);
-        show(&self.shared.metrics, &table);
+        update_hold_metrics(&self.shared.metrics, &table);
         drop(table);
         if is_new {
-            self.tell_leaving(request);
+            self.record_leaving(request);
         }
     }
 
@@ -153,14 +154,16 @@
     }
 }
 
-/// A turn at a server that named a limit; the server is passed over until its next turn, if there is none now.
-async fn take_turn(
+/// Acquires a grant for a server with a rate limit; without one, puts the server on hold until the next grant.
+async fn acquire_grant(
     shared: &Arc<Shared>,
     addressee: &Addressee,
     rate: RequestRate,
     rank: u32,
 ) -> Result<(), Hold> {
-    let TurnAnswer::Wait(wait_ms) = ask_for_turn(shared, addressee, rate, rank).await else { return Ok(()) };
+    let GrantDecision::Wait(wait_ms) = request_grant(shared, addressee, rate, rank).await else {
+        return Ok(());
+    };
     let until = monotonic_ms() + wait_ms;
     lock(&shared.pushback.limits).hold(&addressee.start, until);
     shared.metrics.held_back.with_label_values(&["atLimit"]).inc();
@@ -173,11 +176,11 @@
             return;
         }
         let mut table = lock(&self.shared.pushback.table);
-        let is_over = table.trial_ended(monotonic_ms(), &self.addressee.start, self.accepted);
-        show(&self.shared.metrics, &table);
+        let is_backoff_over = table.trial_ended(monotonic_ms(), &self.addressee.start, self.accepted);
+        update_hold_metrics(&self.shared.metrics, &table);
         drop(table);
-        if is_over {
-            self.tell_rest_ended();
+        if is_backoff_over {
+            self.record_backoff_ended();
         }
     }
 }
--- a/crates/daemon/src/pushback/unavailable.rs
+++ b/crates/daemon/src/pushback/unavailable.rs
@@ -1,4 +1,4 @@
-//! Why there is no server for a request, and when its caller may come back.
+//! Why no server is available for a request, and when its caller may retry.
 
 use crate::clock::monotonic_ms;
 use dockwood_api::ResultCode;
@@ -7,56 +7,56 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Servers that a refusal names, at most.
-const MOST_NAMED: usize = 8;
-/// Shortest time after which a caller that was refused for servers at rest may come back, in milliseconds: the first request
-/// after a rest is answered by then.
-const SHORTEST_RETURN_MS: Millis = 250;
-/// Callers that were refused during a rest come back spread over this part of it that is left, in hundredths: they are as
-/// many as came meanwhile, and the server takes them as fast as they came.
-const RETURN_SPREAD_HUNDREDTHS: Millis = 50;
-/// And over this time at most, in milliseconds: a caller of a long rest loses little of the time that it has.
-const LONGEST_RETURN_SPREAD_MS: Millis = 2_000;
+/// Maximum number of servers that are listed for a refused request.
+const MAX_LISTED_SERVERS: usize = 8;
+/// Shortest retry time for a caller that was refused because the servers are on hold, in milliseconds: by then the first
+/// request after a back-off has been answered.
+const MIN_RETRY_AFTER_MS: Millis = 250;
+/// Retry jitter of refused callers, in percent of the remaining hold: they are as many as arrived during the hold, and
+/// the server can take them at the rate at which they arrived.
+const RETRY_JITTER_PERCENT: Millis = 50;
+/// Upper bound of the retry jitter, in milliseconds: after a long hold, the caller loses little of its remaining time.
+const MAX_RETRY_JITTER_MS: Millis = 2_000;
 
-/// The servers that might take a request and are held back, all of them.
+/// The servers that could take a request, where all of them are on hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AllHeld {
-    /// When the first of them may be asked again; `None` if all of them leave.
+    /// When the first hold ends; `None` if all of the servers are shutting down.
     earliest_end: Option<Millis>,
-    /// Some of them, by id.
+    /// Ids of some of the servers.
     servers: Vec<String>,
-    /// One of them gets as many requests as it takes.
+    /// At least one of the servers is at its rate limit.
     is_at_limit: bool,
 }
 
 impl AllHeld {
-    /// Adds a server that is held back.
+    /// Adds a server on hold.
     pub fn add(&mut self, server: &str, hold: Hold) {
         self.earliest_end = self.earliest_end.into_iter().chain(hold.until()).min();
         self.is_at_limit |= matches!(hold, Hold::AtLimit { .. });
-        if self.servers.len() < MOST_NAMED {
+        if self.servers.len() < MAX_LISTED_SERVERS {
             self.servers.push(server.to_string());
         }
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// How long it is until the first of them may be asked again; `None` if all of them leave.
+    /// Returns the time until the first hold ends; `None` if all of the servers are shutting down.
     pub fn ends_in(&self) -> Option<Duration> {
         self.earliest_end.map(|end| Duration::from_millis(end.saturating_sub(monotonic_ms())))
     }
 
-    /// What a caller is told that is not made to wait for it.
+    /// Returns the refusal for a caller that is not made to wait until a hold ends.
     pub fn refused(self) -> Unavailable {
         let Some(ends_in) = self.ends_in() else {
             return Unavailable { held: self.servers, ..ResultCode::NoServer.into() };
         };
-        let left_ms = (ends_in.as_millis() as Millis).max(SHORTEST_RETURN_MS);
-        let spread_ms = (left_ms / 100 * RETURN_SPREAD_HUNDREDTHS).min(LONGEST_RETURN_SPREAD_MS);
-        let back_in_ms = left_ms.saturating_add(rand::rng().random_range(0..=spread_ms));
+        let remaining_ms = (ends_in.as_millis() as Millis).max(MIN_RETRY_AFTER_MS);
+        let jitter_ms = (remaining_ms / 100 * RETRY_JITTER_PERCENT).min(MAX_RETRY_JITTER_MS);
+        let back_in_ms = remaining_ms.saturating_add(rand::rng().random_range(0..=jitter_ms));
         Unavailable {
             code: if self.is_at_limit { ResultCode::ServersAtLimit } else { ResultCode::ServersResting },
             free_in: Some(ends_in),
@@ -66,16 +66,16 @@
     }
 }
 
-/// Why there is no server for a request.
+/// Why no server is available for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unavailable {
-    /// The code.
+    /// Result code of the refusal.
     pub code: ResultCode,
-    /// How long it is until a server at rest may be asked again, where that is why.
+    /// Time until the first hold ends, if the servers are on hold.
     pub free_in: Option<Duration>,
-    /// When a caller may come back that does not wait for that, in milliseconds, where it is known.
+    /// When the caller may retry, in milliseconds, if known.
     pub back_in_ms: Option<Millis>,
-    /// Servers that would take it, and rest or leave.
+    /// Ids of servers on hold that could take the request.
     pub held: Vec<String>,
 }
 
