--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -1,7 +1,7 @@
-//! One request's gate: whether it may be sent, and what its sends tell.
+//! Admission control of one request that may be a suspect, and the evidence gained from sending it.
 
-use super::reporting::EndedTry;
-use super::trial::{Trial, TrialAnswer};
+use super::reporting::CrashedAttempt;
+use super::trial::{Trial, TrialDecision};
 use crate::clock::{monotonic_ms, wall_ms};
 use crate::lock::lock;
 use crate::log_line::{LineBody, SuspectLine, SuspectStep};
@@ -17,185 +17,204 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a suspect waits in all for its turn: two trials of it that end servers, and their reports, fit in.
-const TURN_LIMIT: Duration = Duration::from_millis(1_500);
-/// How long a suspect waits for a server without another suspect before it shares one: most answers of those that are tried
-/// now are whole by then.
+/// Total time that a suspect waits for a trial: long enough for two other trials of it that crash servers, and their reports.
+const MAX_TRIAL_WAIT: Duration = Duration::from_millis(1_500);
+/// How long a suspect waits for a server without another suspect before it shares one: most of the trials in progress are
+/// complete by then.
 const SHARE_AFTER: Duration = Duration::from_millis(700);
-/// Pause before a suspect asks for its turn again.
-const TURN_PAUSE: Duration = Duration::from_millis(100);
-/// How long it may take to tell that a request was answered; untold, its next whole answer clears it.
-const CLEAR_LIMIT: Duration = Duration::from_secs(2);
+/// Pause before a suspect requests a trial again.
+const TRIAL_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Time limit to report that a request succeeded. If the report is lost, the next complete response clears the request.
+const CLEAR_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a request may be sent to a server that was chosen for it.
+/// Whether a request may be sent to the server that was selected for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The request may be sent.
     Enter,
-    /// Another server is to be chosen.
+    /// Another server has to be selected.
     Elsewhere,
-    /// It is not its turn; a server is to be chosen again.
+    /// Another trial of the request is in progress; a server has to be selected again.
     Wait,
-    /// It may not be sent at all, for this reason.
+    /// The request may not be sent to any server, for this reason.
     Refused(ResultCode),
 }
 
-/// A server that has the request, or is to have it.
+/// The server that the request was sent to, or is to be sent to.
 #[derive(Clone)]
-struct At {
+struct SelectedServer {
     instance: String,
     zone: String,
 }
 
-/// One request's gate.
+/// Admission control of one request.
 pub struct SuspectGate {
     shared: Arc<Shared>,
-    tried: SuspectTry,
+    attempt: SuspectTry,
     deadline: Instant,
     trial: Option<Trial>,
-    at: Option<At>,
-    /// There is no server without another suspect.
+    server: Option<SelectedServer>,
+    /// No server without another suspect was available for long enough.
     may_share: bool,
-    /// When it began to wait for its turn.
-    waits_since: Option<Instant>,
+    /// When the request began to wait for a trial.
+    waiting_since: Option<Instant>,
 }
 
 impl SuspectGate {
-    /// The gate of a try of a request, whose caller waits until `deadline`.
-    pub fn new(shared: &Arc<Shared>, tried: SuspectTry, deadline: Instant) -> SuspectGate {
+    /// Creates the gate of one attempt of a request whose caller waits until `deadline`.
+    pub fn new(shared: &Arc<Shared>, attempt: SuspectTry, deadline: Instant) -> SuspectGate {
         let shared = shared.clone();
-        SuspectGate { shared, tried, deadline, trial: None, at: None, may_share: false, waits_since: None }
+        SuspectGate {
+            shared,
+            attempt,
+            deadline,
+            trial: None,
+            server: None,
+            may_share: false,
+            waiting_since: None,
+        }
     }
 
     fn fingerprint(&self) -> Fingerprint {
-        self.tried.fingerprint
+        self.attempt.fingerprint
     }
 
     fn standing(&self) -> Standing {
         let tables = self.shared.tables();
         let standing = tables.gateway.suspicion.standing(self.fingerprint(), wall_ms());
-        let is_noted = || self.shared.suspects.unreported_ends.concerns(self.fingerprint());
-        if standing == Standing::Unsuspected && is_noted() { Standing::Suspect } else { standing }
+        let has_unreported_crashes =
+            || self.shared.suspects.unreported_crashes.has_pending(self.fingerprint());
+        if standing == Standing::Unsuspected && has_unreported_crashes() {
+            Standing::Suspect
+        } else {
+            standing
+        }
     }
 
-    /// Whether the request is suspected, once all that this entry knows of it is in the log; `Err` if it is under
-    /// quarantine. To be asked before a server is chosen.
+    /// Returns whether the request is a suspect, once all evidence of this entry is in the log; `Err` if it is quarantined.
+    /// Called before a server is selected.
     pub async fn is_suspect(&mut self) -> Result<bool, ResultCode> {
         self.trial = None;
         if self.standing() == Standing::Unsuspected {
             return Ok(false);
         }
-        let deadline = self.deadline.min(Instant::now() + TURN_LIMIT);
-        self.shared.suspects.unreported_ends.known(self.fingerprint(), deadline).await;
+        let deadline = self.deadline.min(Instant::now() + MAX_TRIAL_WAIT);
+        self.shared.suspects.unreported_crashes.wait_until_confirmed(self.fingerprint(), deadline).await;
         match self.standing() {
             Standing::Unsuspected => Ok(false),
             Standing::Suspect => Ok(true),
-            Standing::Quarantined => Err(self.quarantined()),
+            Standing::Quarantined => Err(self.refuse_quarantined()),
         }
     }
 
-    /// Those of the allowed zones in which no server has ended under the request, if it is suspected and there are any. It
-    /// is tried there first: servers that end together in a zone that fails by itself would speak against each request
-    /// that is moved within it.
+    /// Returns the allowed zones in which the request has crashed no server, if it is a suspect and there are any. It is
+    /// tried there first: otherwise the failure of a whole zone would count as evidence against every request that is
+    /// retried within that zone.
     pub fn elsewhere(&self, is_suspect: bool, allowed: &AllowedZones) -> Option<AllowedZones> {
         if !is_suspect {
             return None;
         }
         let tables = self.shared.tables();
         let tables = &tables.gateway;
-        let against = tables.suspicion.zones_against(self.fingerprint());
-        if against.is_empty() {
+        let crashed_zones = tables.suspicion.zones_against(self.fingerprint());
+        if crashed_zones.is_empty() {
             return None;
         }
-        let of_groups = tables.groups.values().map(|group| group.zone.as_str());
-        let of_instances = tables.instances.values().map(|row| row.zone.as_str());
-        let zones: BTreeSet<&str> = of_groups.chain(of_instances).collect();
-        let others = allowed.among(zones.difference(&against).copied());
-        (!others.are_none()).then_some(others)
+        let group_zones = tables.groups.values().map(|group| group.zone.as_str());
+        let instance_zones = tables.instances.values().map(|row| row.zone.as_str());
+        let zones: BTreeSet<&str> = group_zones.chain(instance_zones).collect();
+        let other_zones = allowed.among(zones.difference(&crashed_zones).copied());
+        (!other_zones.are_none()).then_some(other_zones)
     }
 
-    /// Asks whether the request may be sent to a server that was chosen for it.
+    /// Decides whether the request may be sent to the server that was selected for it.
     pub async fn enter(&mut self, is_suspect: bool, instance: &str, zone: &str) -> Admission {
-        self.at = Some(At { instance: instance.to_string(), zone: zone.to_string() });
+        self.server = Some(SelectedServer { instance: instance.to_string(), zone: zone.to_string() });
         if !is_suspect {
             return Admission::Enter;
         }
-        match Trial::ask(&self.shared, self.fingerprint(), instance, self.may_share).await {
-            TrialAnswer::Granted(trial) => {
+        match Trial::request(&self.shared, self.fingerprint(), instance, self.may_share).await {
+            TrialDecision::Granted(trial) => {
                 self.trial = Some(trial);
-                self.tell(SuspectStep::Tried);
+                self.log_step(SuspectStep::Tried);
                 Admission::Enter
             }
-            TrialAnswer::ServerTaken => Admission::Elsewhere,
-            TrialAnswer::Quarantined => Admission::Refused(self.quarantined()),
-            TrialAnswer::UnderWay => self.wait().await,
+            TrialDecision::ServerBusy => Admission::Elsewhere,
+            TrialDecision::Quarantined => Admission::Refused(self.refuse_quarantined()),
+            TrialDecision::InProgress => self.wait().await,
         }
     }
 
-    /// All servers that it might be sent to are taken by other suspects: it may share one, or has to wait.
+    /// Handles the case that all eligible servers run other suspects: waits, and allows sharing one after some time.
     pub async fn all_taken(&mut self) -> Admission {
-        self.may_share = self.waits_since.is_some_and(|since| since.elapsed() >= SHARE_AFTER);
+        self.may_share = self.waiting_since.is_some_and(|since| since.elapsed() >= SHARE_AFTER);
         self.wait().await
     }
 
     async fn wait(&mut self) -> Admission {
-        let since = *self.waits_since.get_or_insert_with(Instant::now);
-        if since.elapsed() + TURN_PAUSE >= TURN_LIMIT || Instant::now() + TURN_PAUSE >= self.deadline {
-            self.tell(SuspectStep::Refused);
+        let since = *self.waiting_since.get_or_insert_with(Instant::now);
+        if since.elapsed() + TRIAL_RETRY_PAUSE >= MAX_TRIAL_WAIT
+            || Instant::now() + TRIAL_RETRY_PAUSE >= self.deadline
+        {
+            self.log_step(SuspectStep::Refused);
             return Admission::Refused(ResultCode::TrialUnderWay);
         }
-        tokio::time::sleep(TURN_PAUSE).await;
+        tokio::time::sleep(TRIAL_RETRY_PAUSE).await;
         Admission::Wait
     }
 
-    /// Whether the request may be written now. To be asked at that very moment: the process may have been stopped since,
-    /// and others may have told of servers that ended under it.
+    /// Returns whether the request may be written now. Called immediately before writing: in the meantime the process may
+    /// have been suspended, or other daemons may have reported crashes under the request.
     pub fn may_write(&self) -> bool {
         match self.standing() {
             Standing::Unsuspected => true,
-            Standing::Suspect => self.trial.as_ref().is_some_and(Trial::may_begin),
+            Standing::Suspect => self.trial.as_ref().is_some_and(Trial::may_start),
             Standing::Quarantined => false,
         }
     }
 
-    /// The server that had the request has ended.
+    /// Records that the server running the request has crashed.
     pub fn server_ended(&mut self) {
-        let Some(At { instance, zone }) = self.at.clone() else { return };
-        self.shared.suspects.unreported_ends.note(EndedTry { instance, zone, tried: self.tried.clone() });
-        self.tell(SuspectStep::Suspected);
-        self.at = None;
+        let Some(SelectedServer { instance, zone }) = self.server.clone() else { return };
+        self.shared.suspects.unreported_crashes.record(CrashedAttempt {
+            instance,
+            zone,
+            attempt: self.attempt.clone(),
+        });
+        self.log_step(SuspectStep::Suspected);
+        self.server = None;
         if let Some(trial) = self.trial.take() {
-            trial.settled();
+            trial.mark_resolved();
         }
     }
 
-    /// The request was answered whole and with success: nothing speaks against it any more. A failure tells nothing: a
-    /// server may answer one before it begins to run the request.
+    /// Records a complete and successful response, which clears the request. An error response does not clear it: a server
+    /// may send one before it begins to run the request.
     pub fn answered(&mut self) {
         let trial = self.trial.take();
         if trial.is_none() && self.standing() == Standing::Unsuspected {
             return;
         }
-        trial.into_iter().for_each(Trial::settled);
-        self.tell(SuspectStep::Cleared);
+        trial.into_iter().for_each(Trial::mark_resolved);
+        self.log_step(SuspectStep::Cleared);
         let (shared, fingerprint) = (self.shared.clone(), self.fingerprint());
-        let reason = format!("{} was answered, told by {}", self.tried.request, shared.settings.name);
+        let reason = format!("{} was answered, told by {}", self.attempt.request, shared.settings.name);
         tokio::spawn(async move {
             let command = GatewayCommand::ClearRequest { fingerprint, reason };
-            let told = submit(&shared, CommandBody::Gateway(command), CLEAR_LIMIT).await;
-            if told.is_err() {
+            let submitted = submit(&shared, CommandBody::Gateway(command), CLEAR_TIMEOUT).await;
+            if submitted.is_err() {
                 shared.metrics.suspect_steps.with_label_values(&["clearFailed"]).inc();
             }
         });
     }
 
-    fn quarantined(&mut self) -> ResultCode {
-        self.tell(SuspectStep::Refused);
+    fn refuse_quarantined(&mut self) -> ResultCode {
+        self.log_step(SuspectStep::Refused);
         ResultCode::RequestQuarantined
     }
 
-    /// Counts a step, and tells of it in the log.
-    fn tell(&self, step: SuspectStep) {
+    /// Counts and logs a step.
+    fn log_step(&self, step: SuspectStep) {
         let shared = &self.shared;
         shared.metrics.suspect_steps.with_label_values(&[step.name()]).inc();
         let held_back = lock(&shared.suspects.line_budget).take(monotonic_ms(), step.code());
@@ -203,18 +222,19 @@
         let tables = shared.tables();
         let suspicion = &tables.gateway.suspicion;
         let crashes = suspicion.crashes_against(self.fingerprint());
-        let quarantined = suspicion.quarantined.get(&self.fingerprint());
-        let evidence = quarantined.into_iter().flat_map(|row| &row.evidence);
-        let told = evidence.map(|evidence| (evidence.instance.as_str(), evidence.at_ms));
-        let against = crashes.iter().map(|row| (row.instance.as_str(), row.at_ms)).chain(told);
-        let (servers, times): (Vec<&str>, Vec<u64>) = against.unzip();
+        let quarantined_row = suspicion.quarantined.get(&self.fingerprint());
+        let evidence = quarantined_row.into_iter().flat_map(|row| &row.evidence);
+        let quarantine_evidence = evidence.map(|evidence| (evidence.instance.as_str(), evidence.at_ms));
+        let crashes_and_quarantine_evidence =
+            crashes.iter().map(|row| (row.instance.as_str(), row.at_ms)).chain(quarantine_evidence);
+        let (servers, times): (Vec<&str>, Vec<u64>) = crashes_and_quarantine_evidence.unzip();
         let newest = times.into_iter().max();
         let line = SuspectLine {
             step,
             fingerprint: self.fingerprint().to_string(),
-            request: &self.tried.request,
-            instance: self.at.as_ref().map(|at| at.instance.as_str()),
-            zone: self.at.as_ref().map(|at| at.zone.as_str()),
+            request: &self.attempt.request,
+            instance: self.server.as_ref().map(|server| server.instance.as_str()),
+            zone: self.server.as_ref().map(|server| server.zone.as_str()),
             servers,
             evidence_age_ms: newest.map(|at_ms| wall_ms().saturating_sub(at_ms)),
             held_back,
--- a/crates/daemon/src/suspects/mod.rs
+++ b/crates/daemon/src/suspects/mod.rs
@@ -1,6 +1,6 @@
-//! Requests that may end the servers that run them, as a daemon that sends requests deals with them. Whatever sends a
-//! request to a server, for the first time or again, asks the [`SuspectGate`] of that request: before it chooses a
-//! server, once it has chosen one, and at the moment of writing.
+//! Poison requests: requests suspected of crashing the servers that run them. Every sender of a request, also of a retry,
+//! consults the [`SuspectGate`] of the request three times: before it selects a server, once it has selected one, and
+//! immediately before it writes the request.
 
 mod gate;
 mod reporting;
@@ -12,31 +12,31 @@
 use crate::line_budget::LineBudget;
 use crate::metrics::Metrics;
 use dockwood_state::SuspicionTable;
-use reporting::UnreportedEnds;
+use reporting::UnreportedCrashes;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long a server whose connection broke may take to accept or refuse another one: some times the way between
-/// regions. Its request waits for the answer before it goes on elsewhere.
+/// Time limit of the connection attempt that checks whether a server has exited after its connection broke: several times
+/// the round trip between regions. The request waits for the result before it is retried on another server.
 pub const CHECK_LIMIT: Duration = Duration::from_millis(100);
 
-/// What a daemon keeps of suspects beside the log.
+/// State on suspect requests that a daemon keeps outside the replicated log.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    unreported_ends: UnreportedEnds,
+    unreported_crashes: UnreportedCrashes,
     line_budget: Mutex<LineBudget>,
 }
 
-/// Whether an error of connecting says that no process listens at the address. A cut, a machine without power and a slow
-/// server answer nothing.
+/// Returns whether a connection error means that no process listens at the address. A network partition, a machine without
+/// power or a slow server sends no response at all.
 pub fn is_refusal(error: &std::io::Error) -> bool {
     error.kind() == ErrorKind::ConnectionRefused
 }
 
-/// Whether the process at an address has ended: its machine refuses connections.
+/// Returns whether the process at an address has exited: its machine refuses connections.
 pub async fn has_ended(address: SocketAddr) -> bool {
     match tokio::time::timeout(CHECK_LIMIT, TcpStream::connect(address)).await {
         Ok(Err(error)) => is_refusal(&error),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Shows how many requests are suspected and under quarantine.
+/// Updates the metrics of suspect and quarantined requests.
 pub fn count_suspects(metrics: &Metrics, suspicion: &SuspicionTable) {
     metrics.suspects.set(suspicion.suspects() as i64);
     metrics.quarantined_requests.set(suspicion.quarantined.len() as i64);
--- a/crates/daemon/src/suspects/reporting.rs
+++ b/crates/daemon/src/suspects/reporting.rs
@@ -1,4 +1,4 @@
-//! Brings what this entry saw of servers' ends to the log.
+//! Reports server crashes observed by this entry to the replicated log.
 
 use crate::clock::wall_ms;
 use crate::lock::lock;
@@ -12,132 +12,132 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Streams of one server that break together are told together: their ends are seen within this time.
-const GATHER: Duration = Duration::from_millis(3);
-/// How long one report may take.
-const REPORT_LIMIT: Duration = Duration::from_millis(600);
-/// Pause before a report that failed is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(50);
-/// A report that could not be brought to the log for this long is given up: without a lease for so long, this entry sends
-/// nothing, and has refused what it had.
+/// Time for which broken streams are collected, so that all streams of one crashed server go into one report.
+const BATCH_WINDOW: Duration = Duration::from_millis(3);
+/// Time limit of one report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Pause before a failed report is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// A report that could not be delivered for this long is dropped: an entry that had no lease for that long sends no
+/// requests, and has refused those it had.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(30);
-/// Tries whose evidence waits to be told, at most; more are not noted.
-const MOST_WAITING: usize = 4_096;
+/// Maximum number of attempts that wait to be reported; further ones are not recorded.
+const MAX_PENDING: usize = 4_096;
 
-/// A try that a server had when it ended.
+/// A request attempt that a server was running when it crashed.
 #[derive(Clone, Debug)]
-pub struct EndedTry {
+pub struct CrashedAttempt {
     /// Instance id of the server.
     pub instance: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// The try.
-    pub tried: SuspectTry,
+    /// The attempt.
+    pub attempt: SuspectTry,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    tries: Vec<EndedTry>,
-    /// How many reports on each request are not known everywhere yet.
-    unknown: HashMap<Fingerprint, u32>,
+struct PendingReports {
+    attempts: Vec<CrashedAttempt>,
+    /// Number of reports on each request that this entry has not yet seen in the log.
+    unconfirmed: HashMap<Fingerprint, u32>,
 }
 
-/// Ends of servers that the log doesn't tell of yet.
+/// Server crashes that are not in the log yet.
 #[derive(Debug, Default)]
-pub struct UnreportedEnds {
-    waiting: Mutex<Waiting>,
-    noted: Notify,
-    reported: Notify,
+pub struct UnreportedCrashes {
+    pending: Mutex<PendingReports>,
+    recorded: Notify,
+    confirmed: Notify,
 }
 
-impl UnreportedEnds {
-    /// Notes a try that a server had when it ended.
-    pub fn note(&self, ended: EndedTry) {
-        let mut waiting = lock(&self.waiting);
-        if waiting.tries.len() >= MOST_WAITING {
+impl UnreportedCrashes {
+    /// Records a request attempt that a server was running when it crashed.
+    pub fn record(&self, crashed: CrashedAttempt) {
+        let mut pending = lock(&self.pending);
+        if pending.attempts.len() >= MAX_PENDING {
             return;
         }
-        *waiting.unknown.entry(ended.tried.fingerprint).or_default() += 1;
-        waiting.tries.push(ended);
-        self.noted.notify_one();
+        *pending.unconfirmed.entry(crashed.attempt.fingerprint).or_default() += 1;
+        pending.attempts.push(crashed);
+        self.recorded.notify_one();
     }
 
-    /// Whether evidence against a request is on its way.
-    pub fn concerns(&self, fingerprint: Fingerprint) -> bool {
-        lock(&self.waiting).unknown.contains_key(&fingerprint)
+    /// Returns whether evidence against a request still has to reach the log.
+    pub fn has_pending(&self, fingerprint: Fingerprint) -> bool {
+        lock(&self.pending).unconfirmed.contains_key(&fingerprint)
     }
 
-    /// Waits until all evidence against a request is known here by the log, or until a deadline.
-    pub async fn known(&self, fingerprint: Fingerprint, deadline: Instant) {
-        let known = async {
+    /// Waits until all evidence against a request has been read back from the log, or until a deadline.
+    pub async fn wait_until_confirmed(&self, fingerprint: Fingerprint, deadline: Instant) {
+        let wait_until_confirmed = async {
             loop {
-                let reported = self.reported.notified();
-                if !self.concerns(fingerprint) {
+                let confirmed = self.confirmed.notified();
+                if !self.has_pending(fingerprint) {
                     return;
                 }
-                reported.await;
+                confirmed.await;
             }
         };
-        // At the deadline the request is judged by what is known: it stays a suspect here.
-        let _ = tokio::time::timeout_at(deadline, known).await;
+        // At the deadline the known evidence decides; the request remains a suspect on this entry.
+        let _ = tokio::time::timeout_at(deadline, wait_until_confirmed).await;
     }
 
-    /// What is to be told, by server.
-    fn take(&self, daemon: &str) -> Vec<ServerEnd> {
-        let tries = std::mem::take(&mut lock(&self.waiting).tries);
+    /// Takes the pending attempts, grouped by server.
+    fn take_pending(&self, daemon: &str) -> Vec<ServerEnd> {
+        let attempts = std::mem::take(&mut lock(&self.pending).attempts);
         let at_ms = wall_ms();
-        let mut ends: BTreeMap<String, ServerEnd> = BTreeMap::new();
-        for EndedTry { instance, zone, tried } in tries {
-            let end = ends.entry(instance.clone()).or_insert_with(|| ServerEnd {
+        let mut crashes: BTreeMap<String, ServerEnd> = BTreeMap::new();
+        for CrashedAttempt { instance, zone, attempt } in attempts {
+            let end = crashes.entry(instance.clone()).or_insert_with(|| ServerEnd {
                 instance,
                 zone,
                 at_ms,
                 daemon: daemon.to_string(),
                 tries: Vec::new(),
             });
-            end.tries.push(tried);
+            end.tries.push(attempt);
         }
-        ends.into_values().collect()
+        crashes.into_values().collect()
     }
 
-    fn settle(&self, end: &ServerEnd) {
-        let mut waiting = lock(&self.waiting);
-        for tried in &end.tries {
-            if let Some(count) = waiting.unknown.get_mut(&tried.fingerprint) {
+    fn mark_confirmed(&self, end: &ServerEnd) {
+        let mut pending = lock(&self.pending);
+        for attempt in &end.tries {
+            if let Some(count) = pending.unconfirmed.get_mut(&attempt.fingerprint) {
                 *count -= 1;
                 if *count == 0 {
-                    waiting.unknown.remove(&tried.fingerprint);
+                    pending.unconfirmed.remove(&attempt.fingerprint);
                 }
             }
         }
-        drop(waiting);
-        self.reported.notify_waiters();
+        drop(pending);
+        self.confirmed.notify_waiters();
     }
 }
 
-/// Reports for ever.
+/// Reports server crashes. Never returns.
 pub async fn run(shared: Arc<Shared>) {
     loop {
-        shared.suspects.unreported_ends.noted.notified().await;
-        tokio::time::sleep(GATHER).await;
-        for end in shared.suspects.unreported_ends.take(&shared.settings.name) {
+        shared.suspects.unreported_crashes.recorded.notified().await;
+        tokio::time::sleep(BATCH_WINDOW).await;
+        for end in shared.suspects.unreported_crashes.take_pending(&shared.settings.name) {
             tokio::spawn(report(shared.clone(), end));
         }
     }
 }
 
-/// Repeats one report until it is in the log, and waits until this entry knows it from there. A repetition carries the
-/// time of the end, so that it counts as the same one.
+/// Retries one report until it is in the log, and waits until this entry has read it back. A retry carries the time of the
+/// crash, so that it counts as the same report.
 async fn report(shared: Arc<Shared>, end: ServerEnd) {
-    let begun = Instant::now();
-    while begun.elapsed() < GIVE_UP_AFTER {
+    let started = Instant::now();
+    while started.elapsed() < GIVE_UP_AFTER {
         let command = CommandBody::Gateway(GatewayCommand::ServerEnded(end.clone()));
-        if let Ok((revision, _)) = submit(&shared, command, REPORT_LIMIT).await {
-            shared.wait_for_revision(revision, REPORT_LIMIT).await;
+        if let Ok((revision, _)) = submit(&shared, command, REPORT_TIMEOUT).await {
+            shared.wait_for_revision(revision, REPORT_TIMEOUT).await;
             break;
         }
         shared.metrics.suspect_steps.with_label_values(&["reportFailed"]).inc();
-        tokio::time::sleep(REPEAT_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    shared.suspects.unreported_ends.settle(&end);
+    shared.suspects.unreported_crashes.mark_confirmed(&end);
 }
--- a/crates/daemon/src/suspects/trial.rs
+++ b/crates/daemon/src/suspects/trial.rs
@@ -1,4 +1,4 @@
-//! A suspect's turn at one server, granted by the log.
+//! A trial of a suspect request on one server, granted through the replicated log.
 
 use crate::clock::{monotonic_ms, wall_ms};
 use crate::peer::submit;
@@ -9,86 +9,86 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the log may take to grant a trial: some times the usual ten milliseconds.
-const GRANT_LIMIT: Duration = Duration::from_millis(400);
-/// A trial that was granted must be begun within this time, in milliseconds: a third of the time for which the log keeps
-/// others away, so that a process that stood still meanwhile sends nothing beside another one's trial.
-const BEGIN_WITHIN_MS: u64 = 1_000;
-/// How long the end of a trial may take to be told; after that it ends by its time.
-const END_LIMIT: Duration = Duration::from_secs(1);
+/// Time limit for the log to grant a trial: many times the usual 10 ms.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
+/// A granted trial must start within this time, in milliseconds: a third of the time for which the log grants no other
+/// trial, so that a process that was suspended does not send the request during the trial of another daemon.
+const START_WITHIN_MS: u64 = 1_000;
+/// Time limit to report the end of a trial. An unreported trial expires in the log.
+const END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A trial that was granted; others are granted none for the same request until it is dropped.
+/// A granted trial. No other trial of the same request is granted until it is dropped.
 pub struct Trial {
     shared: Arc<Shared>,
     fingerprint: Fingerprint,
-    number: u64,
-    asked_at: u64,
-    is_settled: bool,
+    id: u64,
+    requested_at: u64,
+    is_resolved: bool,
 }
 
-/// What the log says to a trial.
-pub enum TrialAnswer {
-    /// It may begin.
+/// The decision of the log on a requested trial.
+pub enum TrialDecision {
+    /// The trial may start.
     Granted(Trial),
-    /// Another one of the same request is under way, or nobody can tell.
-    UnderWay,
+    /// Another trial of the same request is in progress, or the log gave no decision.
+    InProgress,
     /// The server runs another suspect.
-    ServerTaken,
-    /// The request is under quarantine.
+    ServerBusy,
+    /// The request is quarantined.
     Quarantined,
 }
 
 impl Trial {
-    /// Asks for a trial at a server.
-    pub async fn ask(
+    /// Requests a trial on a server.
+    pub async fn request(
         shared: &Arc<Shared>,
         fingerprint: Fingerprint,
         instance: &str,
         may_share: bool,
-    ) -> TrialAnswer {
-        let (asked_at, number) = (monotonic_ms(), rand::random());
-        let (trial, instance) = (number, instance.to_string());
-        let request = TrialRequest { fingerprint, trial, instance, may_share, at_ms: wall_ms() };
-        let command = CommandBody::Gateway(GatewayCommand::BeginTrial(request));
-        // Held while it is asked for: it may be granted though the answer is lost, or the caller leaves meanwhile.
-        let trial = Trial { shared: shared.clone(), fingerprint, number, asked_at, is_settled: false };
-        match submit(shared, command, GRANT_LIMIT).await {
+    ) -> TrialDecision {
+        let (requested_at, id) = (monotonic_ms(), rand::random());
+        let (trial, instance) = (id, instance.to_string());
+        let trial_request = TrialRequest { fingerprint, trial, instance, may_share, at_ms: wall_ms() };
+        let command = CommandBody::Gateway(GatewayCommand::BeginTrial(trial_request));
+        // Created before the request, so that dropping it ends the trial even if the grant is lost or the caller disconnects.
+        let trial = Trial { shared: shared.clone(), fingerprint, id, requested_at, is_resolved: false };
+        match submit(shared, command, GRANT_TIMEOUT).await {
             Ok((_, Outcome::Refused(error))) => trial.refused(&error),
-            Ok(_) => TrialAnswer::Granted(trial),
-            Err(_) => TrialAnswer::UnderWay,
+            Ok(_) => TrialDecision::Granted(trial),
+            Err(_) => TrialDecision::InProgress,
         }
     }
 
-    fn refused(mut self, error: &ApiError) -> TrialAnswer {
-        self.is_settled = true;
+    fn refused(mut self, error: &ApiError) -> TrialDecision {
+        self.is_resolved = true;
         match error.code() {
-            ResultCode::RequestQuarantined => TrialAnswer::Quarantined,
-            ResultCode::ServerOnTrial => TrialAnswer::ServerTaken,
-            _ => TrialAnswer::UnderWay,
+            ResultCode::RequestQuarantined => TrialDecision::Quarantined,
+            ResultCode::ServerOnTrial => TrialDecision::ServerBusy,
+            _ => TrialDecision::InProgress,
         }
     }
 
-    /// Whether it may still begin.
-    pub fn may_begin(&self) -> bool {
-        monotonic_ms() < self.asked_at + BEGIN_WITHIN_MS
+    /// Returns whether the trial may still start.
+    pub fn may_start(&self) -> bool {
+        monotonic_ms() < self.requested_at + START_WITHIN_MS
     }
 
-    /// Its result is told otherwise: the server's end, or the request's whole answer.
-    pub fn settled(mut self) {
-        self.is_settled = true;
+    /// Marks the trial as resolved: its result, the crash of the server or the complete response, is reported separately.
+    pub fn mark_resolved(mut self) {
+        self.is_resolved = true;
     }
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        if self.is_settled {
+        if self.is_resolved {
             return;
         }
-        let (shared, fingerprint, trial) = (self.shared.clone(), self.fingerprint, self.number);
+        let (shared, fingerprint, trial) = (self.shared.clone(), self.fingerprint, self.id);
         tokio::spawn(async move {
             let command = CommandBody::Gateway(GatewayCommand::EndTrial { fingerprint, trial });
-            // Untold, it ends by its time.
-            let _ = submit(&shared, command, END_LIMIT).await;
+            // If this fails, the trial expires in the log.
+            let _ = submit(&shared, command, END_TIMEOUT).await;
         });
     }
 }
