--- a/crates/daemon/src/probe/engine_client.rs
+++ b/crates/daemon/src/probe/engine_client.rs
@@ -1,24 +1,24 @@
-//! Probes of single machines.
+//! HTTP client for health probes of single machines.
 
 use dockwood_api::engine::{GroupHealth, PATH_HEALTH};
 use dockwood_api::peer::MachineState;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A machine that does not answer within this time counts as silent.
+/// A machine that does not respond within this time counts as silent.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why a probe has no answer.
+/// Why a probe failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeFailure {
     /// The connection was refused or reset.
     Refused,
-    /// There was no answer in time.
+    /// There was no response in time.
     Silent,
 }
 
 impl ProbeFailure {
-    /// What the failure says of the machine.
+    /// Returns the machine state that the failure implies.
     pub fn machine_state(self) -> MachineState {
         match self {
             ProbeFailure::Refused => MachineState::Refusing,
@@ -27,19 +27,19 @@
     }
 }
 
-/// Asks machines how they are.
+/// Queries the health endpoint of machines.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: reqwest::Client,
 }
 
 impl EngineClient {
-    /// A client over shared connections.
+    /// Creates a client that uses the connection pool of `http`.
     pub fn new(http: reqwest::Client) -> Self {
         EngineClient { http }
     }
 
-    /// One probe.
+    /// Probes one machine.
     pub async fn health(&self, address: SocketAddr) -> Result<GroupHealth, ProbeFailure> {
         let url = format!("http://{address}{PATH_HEALTH}");
         let response = self.http.get(url).timeout(PROBE_TIMEOUT).send().await.map_err(classify)?;
@@ -51,7 +51,7 @@
     if error.is_timeout() { ProbeFailure::Silent } else { ProbeFailure::Refused }
 }
 
-/// What an answer says of the machine.
+/// Returns the machine state that a health response implies.
 pub fn machine_state(health: &GroupHealth) -> MachineState {
     let replica = health.replica.as_deref().filter(|_| health.loaded);
     MachineState::alive(replica.map(|replica| (replica, health.epoch)))
--- a/crates/daemon/src/probe/machine_prober.rs
+++ b/crates/daemon/src/probe/machine_prober.rs
@@ -1,4 +1,4 @@
-//! Probes machines that are in no replica, so that spares are known to work before they are needed.
+//! Probes machines outside replicas, so that spare machines are known to be healthy before they are needed.
 
 use super::engine_client::{EngineClient, machine_state};
 use super::reporter::Reporter;
@@ -10,35 +10,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between probes of one machine.
-const PROBE_EVERY: Duration = Duration::from_millis(1_000);
-/// Probes at once.
-const PROBES_AT_ONCE: usize = 32;
+/// Interval between probes of one machine.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Maximum number of concurrent probes.
+const MAX_CONCURRENT_PROBES: usize = 32;
 
-/// Probes for ever.
+/// Probes the machines that this daemon owns. Never returns.
 pub async fn run_machine_prober(shared: Arc<Shared>, engines: EngineClient, reporter: Arc<Reporter>) {
-    let mut ticks = tokio::time::interval(PROBE_EVERY);
+    let mut ticks = tokio::time::interval(PROBE_INTERVAL);
     loop {
         ticks.tick().await;
         let tables = shared.tables();
-        let own = shared.settings.name.as_str();
-        retain_own(&tables, own, &reporter);
-        let due: Vec<(String, SocketAddr)> = tables
+        let own_name = shared.settings.name.as_str();
+        retain_owned(&tables, own_name, &reporter);
+        let owned: Vec<(String, SocketAddr)> = tables
             .servers()
-            .filter(|(server, _)| !is_held(&tables, server) && owner(&tables, server) == Some(own))
+            .filter(|(server, _)| !is_in_replica(&tables, server) && owner(&tables, server) == Some(own_name))
             .map(|(server, spec)| (server.to_string(), spec.address))
             .collect();
-        let probes = futures::stream::iter(due).map(|(server, address)| {
+        let probes = futures::stream::iter(owned).map(|(server, address)| {
             let (engines, reporter, shared) = (engines.clone(), reporter.clone(), shared.clone());
             async move {
                 probe(&shared, &engines, &reporter, &server, address).await;
             }
         });
-        probes.buffer_unordered(PROBES_AT_ONCE).collect::<()>().await;
+        probes.buffer_unordered(MAX_CONCURRENT_PROBES).collect::<()>().await;
     }
 }
 
-/// Probes one machine and notes the result.
+/// Probes one machine and records its state. Returns whether it responded.
 pub(super) async fn probe(
     shared: &Shared,
     engines: &EngineClient,
@@ -46,33 +46,37 @@
     server: &str,
     address: SocketAddr,
 ) -> bool {
-    let found = engines.health(address).await;
-    let state = match &found {
+    let health = engines.health(address).await;
+    let state = match &health {
         Ok(health) => machine_state(health),
         Err(failure) => failure.machine_state(),
     };
-    let result = if found.is_ok() { "answered" } else { "failed" };
+    let result = if health.is_ok() { "answered" } else { "failed" };
     shared.metrics.probes.with_label_values(&[result]).inc();
-    reporter.machine(server, state);
-    found.is_ok()
+    reporter.record_machine(server, state);
+    health.is_ok()
 }
 
-fn is_held(tables: &Tables, server: &str) -> bool {
-    tables.machines.get(server).is_some_and(|machine| machine.holder.is_some())
+fn is_in_replica(tables: &Tables, server: &str) -> bool {
+    tables.machines.get(server).is_some_and(|machine_row| machine_row.holder.is_some())
 }
 
-/// The live daemon that probes a free machine.
+/// Returns the live daemon that probes a machine outside replicas.
 fn owner<'a>(tables: &'a Tables, server: &str) -> Option<&'a str> {
     let names = tables.live_daemons().map(|daemon| daemon.record.name.as_str());
     names.max_by_key(|name| rendezvous_weight(server, name))
 }
 
-fn retain_own(tables: &Tables, own: &str, reporter: &Reporter) {
-    let owns = |server: &str| match tables.machines.get(server).and_then(|machine| machine.holder.as_ref()) {
+fn retain_owned(tables: &Tables, own_name: &str, reporter: &Reporter) {
+    let owns = |server: &str| match tables
+        .machines
+        .get(server)
+        .and_then(|machine_row| machine_row.holder.as_ref())
+    {
         Some(holder) => {
-            tables.replicas.get(&holder.replica).is_some_and(|row| row.watcher.as_deref() == Some(own))
+            tables.replicas.get(&holder.replica).is_some_and(|row| row.watcher.as_deref() == Some(own_name))
         }
-        None => owner(tables, server) == Some(own),
+        None => owner(tables, server) == Some(own_name),
     };
     let exists =
         |replica: &str, epoch: u64| tables.replicas.get(replica).is_some_and(|row| row.epoch == epoch);
--- a/crates/daemon/src/probe/mod.rs
+++ b/crates/daemon/src/probe/mod.rs
@@ -1,5 +1,5 @@
-//! Evidence on machines: each replica has one watcher among the daemons, and each machine outside a replica
-//! one prober, found by rendezvous hash.
+//! Health probing of machines: each replica is probed by one daemon, its watcher, and each machine outside a replica by
+//! the daemon that rendezvous hashing selects.
 
 mod engine_client;
 mod machine_prober;
--- a/crates/daemon/src/probe/platform.rs
+++ b/crates/daemon/src/probe/platform.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's list. It lags, so it is a hint only: liveness comes from our own probes, and from the
-//! list no more than which machines are about to be taken away.
+//! Reads the platform's list of machines. The list lags and is only a hint: liveness is determined by the daemons' own
+//! probes, and the list is used only to learn which machines are about to be taken away.
 
 use crate::control::ControlMessage;
 use crate::shared::Shared;
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks.
-const READ_EVERY: Duration = Duration::from_millis(1_000);
-/// How long the platform may take.
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time limit of one request to the platform.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Reads for ever, while this daemon leads.
+/// Polls the list while this daemon is the control leader. Never returns.
 pub async fn run_platform_reader(shared: Arc<Shared>, http: reqwest::Client) {
     let Some(platform) = shared.settings.platform else { return };
     let url = format!("http://{platform}/platform/machines");
-    let mut ticks = tokio::time::interval(READ_EVERY);
+    let mut ticks = tokio::time::interval(POLL_INTERVAL);
     loop {
         ticks.tick().await;
         if shared.metrics.is_leader.get() == 0 {
--- a/crates/daemon/src/probe/replica_watcher.rs
+++ b/crates/daemon/src/probe/replica_watcher.rs
@@ -1,4 +1,5 @@
-//! Watches replicas: asks the head, which answers for its group, and each member only when something is amiss.
+//! Probes replicas: the head, which reports on its whole group, and each member only if the head does not report the group
+//! as complete.
 
 use super::engine_client::EngineClient;
 use super::machine_prober::probe;
@@ -17,78 +18,78 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between probes of a head.
-const PROBE_EVERY: Duration = Duration::from_millis(250);
-/// Unchanged evidence is sent on at least this often: well within the evidence window.
-const REFRESH_MS: Millis = 400;
-/// How long a coordinator may take to accept evidence.
+/// Interval between probes of a head.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which unchanged evidence is sent again, in milliseconds: well within the evidence window.
+const REFRESH_INTERVAL_MS: Millis = 400;
+/// Time limit for a coordinator to accept evidence.
 const SEND_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What was last sent on a replica.
+/// The evidence that was last sent on a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Sent {
-    at: Millis,
+struct SentEvidence {
+    sent_at: Millis,
     epoch: u64,
     complete: bool,
     recipients: BTreeSet<String>,
-    /// Every recipient's clock was known, so the report could open its gate.
-    echoed: bool,
+    /// The clock of every recipient was known, so that the evidence could open the dispatch gate.
+    clocks_known: bool,
 }
 
-/// Watches this daemon's replicas for ever.
+/// Probes the replicas that this daemon watches. Never returns.
 pub async fn run_replica_watcher(
     shared: Arc<Shared>,
     traffic: Arc<Traffic>,
     engines: EngineClient,
     reporter: Arc<Reporter>,
 ) {
-    let sent: Arc<Mutex<BTreeMap<String, Sent>>> = Arc::default();
-    let echoes: Arc<Mutex<BTreeMap<String, u64>>> = Arc::default();
-    let mut ticks = tokio::time::interval(PROBE_EVERY);
+    let sent: Arc<Mutex<BTreeMap<String, SentEvidence>>> = Arc::default();
+    let recipient_clocks: Arc<Mutex<BTreeMap<String, u64>>> = Arc::default();
+    let mut ticks = tokio::time::interval(PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let tables = shared.tables();
-        let own = Some(shared.settings.name.as_str());
-        let mine: Vec<Arc<ReplicaRow>> =
-            tables.replicas.values().filter(|row| row.watcher.as_deref() == own).cloned().collect();
+        let own_name = Some(shared.settings.name.as_str());
+        let watched: Vec<Arc<ReplicaRow>> =
+            tables.replicas.values().filter(|row| row.watcher.as_deref() == own_name).cloned().collect();
         lock(&sent).retain(|name, _| tables.replicas.contains_key(name));
-        let looks = mine.into_iter().map(|replica| {
-            let watch = Watch {
+        let probes = watched.into_iter().map(|replica| {
+            let replica_probe = ReplicaProbe {
                 shared: shared.clone(),
                 traffic: traffic.clone(),
                 engines: engines.clone(),
                 reporter: reporter.clone(),
                 tables: tables.clone(),
                 sent: sent.clone(),
-                echoes: echoes.clone(),
+                recipient_clocks: recipient_clocks.clone(),
             };
-            async move { watch.look(&replica).await }
+            async move { replica_probe.probe_replica(&replica).await }
         });
-        futures::future::join_all(looks).await;
+        futures::future::join_all(probes).await;
     }
 }
 
-struct Watch {
+struct ReplicaProbe {
     shared: Arc<Shared>,
     traffic: Arc<Traffic>,
     engines: EngineClient,
     reporter: Arc<Reporter>,
     tables: Arc<Tables>,
-    sent: Arc<Mutex<BTreeMap<String, Sent>>>,
-    /// The newest clock that each recipient has answered.
-    echoes: Arc<Mutex<BTreeMap<String, u64>>>,
+    sent: Arc<Mutex<BTreeMap<String, SentEvidence>>>,
+    /// The latest clock value that each recipient returned.
+    recipient_clocks: Arc<Mutex<BTreeMap<String, u64>>>,
 }
 
-impl Watch {
-    async fn look(&self, replica: &ReplicaRow) {
-        // Taken before the look: what a recipient echoed until now is older than what is about to be seen.
-        let echoes = self.echoes();
+impl ReplicaProbe {
+    async fn probe_replica(&self, replica: &ReplicaRow) {
+        // Read before the probe: the clock values returned so far are older than the state that the probe observes.
+        let recipient_clocks = self.recipient_clocks();
         let Some(head) = replica.members.first().and_then(|head| self.tables.server(head)) else { return };
         let health = self.engines.health(head.address).await.ok();
-        let complete = health.as_ref().is_some_and(|health| shows_complete(replica, health));
+        let complete = health.as_ref().is_some_and(|health| is_complete(replica, health));
         let missing = if complete {
-            self.all_alive(replica);
+            self.record_all_alive(replica);
             Vec::new()
         } else {
             self.missing_members(replica, health.as_ref()).await
@@ -101,13 +102,13 @@
             missing,
             echo_ms: 0,
         };
-        self.send(evidence, &echoes).await;
+        self.send(evidence, &recipient_clocks).await;
     }
 
-    /// The head hears all members: each is alive and loaded for this epoch.
-    fn all_alive(&self, replica: &ReplicaRow) {
+    /// Records every member as alive and loaded for this epoch, as the head is in contact with all of them.
+    fn record_all_alive(&self, replica: &ReplicaRow) {
         for server in &replica.members {
-            self.reporter.machine(server, MachineState::alive(Some((&replica.name, replica.epoch))));
+            self.reporter.record_machine(server, MachineState::alive(Some((&replica.name, replica.epoch))));
         }
     }
 
@@ -115,53 +116,61 @@
         let probes = replica.members.iter().filter_map(|server| {
             let address = self.tables.server(server)?.address;
             Some(async move {
-                let answers = probe(&self.shared, &self.engines, &self.reporter, server, address).await;
-                (server.clone(), answers)
+                let responds = probe(&self.shared, &self.engines, &self.reporter, server, address).await;
+                (server.clone(), responds)
             })
         });
         let mut missing: Vec<String> = futures::future::join_all(probes)
             .await
             .into_iter()
-            .filter(|(_, answers)| !answers)
+            .filter(|(_, responds)| !responds)
             .map(|(server, _)| server)
             .collect();
-        let unheard = health.map(|health| health.missing.clone()).unwrap_or_default();
-        missing.extend(unheard.into_iter().filter(|server| replica.members.contains(server)));
+        let missing_at_head = health.map(|health| health.missing.clone()).unwrap_or_default();
+        missing.extend(missing_at_head.into_iter().filter(|server| replica.members.contains(server)));
         missing.sort();
         missing.dedup();
         missing
     }
 
-    async fn send(&self, evidence: ReplicaEvidence, echoes: &BTreeMap<String, u64>) {
+    async fn send(&self, evidence: ReplicaEvidence, recipient_clocks: &BTreeMap<String, u64>) {
         let recipients: BTreeSet<String> = match self.tables.pools.get(&evidence.pool) {
             Some(pool) => [&pool.coordinator, &pool.standby].into_iter().flatten().cloned().collect(),
             None => return,
         };
         let now = monotonic_ms();
-        let echoed = recipients.iter().all(|daemon| echoes.get(daemon).is_some_and(|echo_ms| *echo_ms > 0));
-        let next = Sent { at: now, epoch: evidence.epoch, complete: evidence.complete, recipients, echoed };
+        let clocks_known =
+            recipients.iter().all(|daemon| recipient_clocks.get(daemon).is_some_and(|echo_ms| *echo_ms > 0));
+        let next = SentEvidence {
+            sent_at: now,
+            epoch: evidence.epoch,
+            complete: evidence.complete,
+            recipients,
+            clocks_known,
+        };
         if !self.is_due(&evidence, &next) {
             return;
         }
         let sends = next.recipients.iter().map(|daemon| {
-            let echo_ms = echoes.get(daemon).copied().unwrap_or(0);
+            let echo_ms = recipient_clocks.get(daemon).copied().unwrap_or(0);
             self.send_to(daemon, vec![ReplicaEvidence { echo_ms, ..evidence.clone() }])
         });
         futures::future::join_all(sends).await;
     }
 
-    /// Notes what is about to be sent; false if nothing has changed since and it is still fresh.
-    fn is_due(&self, evidence: &ReplicaEvidence, next: &Sent) -> bool {
+    /// Records the evidence to be sent; returns false if it is unchanged and was sent recently.
+    fn is_due(&self, evidence: &ReplicaEvidence, next: &SentEvidence) -> bool {
         let mut sent = lock(&self.sent);
-        let before = sent.get(&evidence.replica).cloned();
-        if let Some(before) = &before {
-            let unchanged = (before.epoch, before.complete, &before.recipients)
+        let previous = sent.get(&evidence.replica).cloned();
+        if let Some(previous) = &previous {
+            let is_unchanged = (previous.epoch, previous.complete, &previous.recipients)
                 == (next.epoch, next.complete, &next.recipients);
-            if unchanged && before.echoed && next.at < before.at + REFRESH_MS {
+            if is_unchanged && previous.clocks_known && next.sent_at < previous.sent_at + REFRESH_INTERVAL_MS
+            {
                 return false;
             }
         }
-        let was_complete = before.is_some_and(|before| before.complete && before.epoch == next.epoch);
+        let was_complete = previous.is_some_and(|previous| previous.complete && previous.epoch == next.epoch);
         if was_complete != next.complete {
             self.record_change(evidence);
         }
@@ -182,33 +191,33 @@
     async fn send_to(&self, daemon: &str, reports: Vec<ReplicaEvidence>) {
         if daemon == self.shared.settings.name {
             self.traffic.pools.evidence(reports);
-            self.note_echo(daemon, monotonic_ms());
+            self.record_clock(daemon, monotonic_ms());
             return;
         }
         let Some(address) = self.shared.peer_address(daemon) else { return };
         let call = |client: PeerClient, context| async move { client.evidence(context, reports).await };
         match self.shared.peers.call(address, SEND_TIMEOUT, call).await {
-            Ok(echo_ms) => self.note_echo(daemon, echo_ms),
+            Ok(echo_ms) => self.record_clock(daemon, echo_ms),
             Err(_) => {
-                // The daemon may be another process by now, with another clock.
-                self.note_echo(daemon, 0);
+                // The daemon may have restarted, and its clock with it.
+                self.record_clock(daemon, 0);
                 self.shared.metrics.peer_failures.inc();
             }
         }
     }
 
-    fn echoes(&self) -> BTreeMap<String, u64> {
-        lock(&self.echoes).clone()
+    fn recipient_clocks(&self) -> BTreeMap<String, u64> {
+        lock(&self.recipient_clocks).clone()
     }
 
-    fn note_echo(&self, daemon: &str, echo_ms: u64) {
-        let mut echoes = lock(&self.echoes);
-        echoes.insert(daemon.to_string(), echo_ms);
+    fn record_clock(&self, daemon: &str, echo_ms: u64) {
+        let mut recipient_clocks = lock(&self.recipient_clocks);
+        recipient_clocks.insert(daemon.to_string(), echo_ms);
     }
 }
 
-fn shows_complete(replica: &ReplicaRow, health: &GroupHealth) -> bool {
-    let right_group =
+fn is_complete(replica: &ReplicaRow, health: &GroupHealth) -> bool {
+    let is_expected_group =
         health.replica.as_deref() == Some(replica.name.as_str()) && health.epoch == replica.epoch;
-    right_group && health.loaded && health.version == replica.version && health.missing.is_empty()
+    is_expected_group && health.loaded && health.version == replica.version && health.missing.is_empty()
 }
