--- a/crates/daemon/tests/gateway/limit_soak.rs
+++ b/crates/daemon/tests/gateway/limit_soak.rs
@@ -5,7 +5,7 @@
 //! `LIMIT_SOAK_SEEDS=50 cargo test -p dockwood-daemon --test gateway limit_soak` plays that many seeds, from `LIMIT_SOAK_FIRST` on.
 
 use crate::fixture::{Daemon, Fleet, configuration};
-use crate::limit_judge::{Excuse, first_unexcused_excess};
+use crate::limit_check::{Excuse, first_unexcused_excess};
 use crate::servers::{FakeServer, Manner, Rest};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/daemon/tests/gateway/main.rs
+++ b/crates/daemon/tests/gateway/main.rs
@@ -6,15 +6,15 @@
 mod evacuation;
 mod fixture;
 mod leader_search;
-mod limit_judge;
+mod limit_check;
 mod limit_soak;
 mod manner;
+mod poison_requests;
 mod promises;
 mod regions;
-mod requests_that_end_servers;
 mod served_stream;
+mod server_backoff;
 mod servers;
-mod servers_that_ask_for_rest;
 mod servers_that_name_a_limit;
 
 use fixture::{Fleet, LIMIT, configuration, eventually};
--- a/crates/daemon/tests/gateway/servers_that_name_a_limit.rs
+++ b/crates/daemon/tests/gateway/servers_that_name_a_limit.rs
@@ -12,7 +12,7 @@
 //! server of nine entries; after it 12 and, the first moment among them, 35.
 
 use crate::fixture::{Fleet, configuration};
-use crate::limit_judge::first_excess;
+use crate::limit_check::first_excess;
 use crate::servers::FakeServer;
 use crate::{with_groups_of, with_plain_servers};
 use reqwest::StatusCode;
