--- a/crates/daemon/tests/cold_servers.rs
+++ b/crates/daemon/tests/cold_servers.rs
@@ -1,4 +1,4 @@
-//! What an entry sends to cold servers by itself.
+//! The limits that one entry applies to its own requests to cold servers.
 
 use dockwood_api::gateway::ColdStart;
 use dockwood_daemon::clock::monotonic_ms;
@@ -10,21 +10,21 @@
     Metrics::new().unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// A process that was stopped with a place in hand, or whose connection took long, has to ask again.
+/// A slot that expired, as the process was suspended or the connection took too long, has to be requested again.
 #[test]
-fn nothing_is_sent_on_a_place_that_was_given_too_long_ago() {
+fn an_expired_slot_is_not_used() {
     let (cold, metrics) = (ColdServers::default(), metrics());
     let may_send = |valid_until| cold.may_send(&metrics, "writer", "a", true, valid_until);
     assert!(may_send(Some(monotonic_ms() + 10_000)));
     assert!(!may_send(Some(monotonic_ms())));
-    assert!(may_send(None), "where nothing is declared a place holds");
+    assert!(may_send(None), "without a declared limit a slot does not expire");
     assert_eq!(metrics.cold_limited.with_label_values(&["expired"]).get(), 1);
     assert_eq!(metrics.cold_sends.with_label_values(&["writer"]).get(), 2);
     assert_eq!(metrics.cold_sends_peak.get(), 2);
 }
 
 #[test]
-fn two_requests_that_look_for_a_turn_at_once_do_not_both_get_it() {
+fn concurrent_requests_do_not_share_one_slot() {
     let cold = ColdServers::new(ColdLimit { overshoot_percent: 100, extra: 0 });
     let rate = cold.warm_rate(&ColdStart { usual_ms: 1_000, requests_per_second: 8.0 });
     assert_eq!(rate, SendRate::of_dispatcher(8));
@@ -43,5 +43,5 @@
     assert!(cold.may_give(1_000, "a", rate) && cold.may_give(1_000, "a", rate));
     assert!(cold.try_give(1_000, "a", rate));
     assert!(!cold.try_give(1_000, "a", rate));
-    assert!(cold.try_give(1_300, "a", rate), "its next turn has come");
+    assert!(cold.try_give(1_300, "a", rate), "the next request is due");
 }
--- a/crates/daemon/tests/gateway/poison_requests.rs
+++ b/crates/daemon/tests/gateway/poison_requests.rs
@@ -1,10 +1,11 @@
-//! A caller sent the same request again and again, and each server that began to run it ended some 50 ms later. Every
-//! layer repeated it: the entry went on with the cut stream at the next server, the caller retried, and its next try came
-//! with a new id to another entry. Each try was judged by itself, so nothing remembered what the tries before had done:
-//! 36 servers ended under one such request and 46 under another, which were sent 13 and 18 times more than three seconds
-//! after the third, and of 257 requests for the same model in three of those seconds 37 were answered in time. What
-//! settled it was one try at two servers, each of which ended 56 ms after it had begun to run it, whatever else it ran:
-//! begun at 43.480 s, ended at 43.536 s; begun at the next one at 43.712 s, ended at 43.768 s.
+//! Poison requests: requests that crash every server that runs them.
+//!
+//! Guards against a fault in which each layer retried such a request and judged each attempt separately: the entry continued
+//! the broken stream on the next server, and the caller retried with a new attempt id at another entry, so that no attempt
+//! knew of the crashes before it. One such request crashed 36 servers and another 46; they were still sent 13 and 18 times
+//! later than three seconds after the third crash, and of 257 requests for the same model in three of those seconds 37
+//! were answered in time. The cause was identified from one attempt on two servers, each of which crashed 56 ms after it had begun
+//! to run the request, whatever else it ran: from 43.480 s to 43.536 s, and from 43.712 s to 43.768 s.
 
 use super::fixture::{Daemon, Fleet, LIMIT, OPERATOR_TOKEN, configuration, eventually};
 use super::servers::{ENDS_SERVERS, FakeServer, KEEPS_ID, Manner};
@@ -15,24 +16,24 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Entries up to which the leader dispatches, where it is to dispatch for the two of these tests.
+/// Maximum number of entries for which the leader dispatches, where it has to dispatch for the two entries of these tests.
 const SMALL_FLEET: u32 = 64;
-/// The same where they are to dispatch for each other.
+/// The same where the entries have to dispatch for each other.
 const LARGE_FLEET: u32 = 0;
-/// What is answered to a request under quarantine.
+/// Result code of a quarantined request.
 const QUARANTINED: u64 = 3_009;
-/// An entry that is stopped for this long knows that it did not run, and its lease still holds.
-const STANDS_STILL: Duration = Duration::from_millis(400);
-/// Servers that end under a request before the fleet must know it.
-const ENDED: usize = 3;
-/// Time that the fleet has to know it everywhere: the bound that operators were promised.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Sends that are allowed after that, over all entries.
-const MOST_SENDS_LATER: usize = 3;
-/// Servers that may end under it in all: the sends before the third has ended, and those allowed later.
-const MOST_ENDED: usize = ENDED + MOST_SENDS_LATER;
+/// An entry that is suspended for this long detects the suspension, and its lease is still valid.
+const SUSPENSION: Duration = Duration::from_millis(400);
+/// Number of crashes after which the fleet must recognize a request.
+const CRASHES_TO_QUARANTINE: usize = 3;
+/// Time within which all daemons must recognize the request: the bound that operators were promised.
+const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
+/// Number of sends allowed after that, over all entries.
+const MAX_SENDS_AFTER: usize = 3;
+/// Total number of servers that may crash: those up to the third crash, and those allowed afterwards.
+const MAX_CRASHES: usize = CRASHES_TO_QUARANTINE + MAX_SENDS_AFTER;
 
-/// A fleet with two groups of model servers in each of two zones.
+/// Starts a fleet with two groups of model servers in each of two zones.
 async fn with_four_groups(leader_dispatches_up_to: u32) -> (Fleet, Vec<Arc<FakeServer>>) {
     let fleet = Fleet::start_dispatched(leader_dispatches_up_to);
     let mut models = Vec::new();
@@ -45,7 +46,7 @@
     (fleet, models)
 }
 
-/// A fleet with two plain servers in each of two zones.
+/// Starts a fleet with two plain servers in each of two zones.
 async fn with_four_plain_servers() -> (Fleet, Vec<Arc<FakeServer>>) {
     let fleet = Fleet::start();
     let mut servers = Vec::new();
@@ -58,32 +59,33 @@
     (fleet, servers)
 }
 
-/// When requests that end servers arrived at servers, in order.
+/// Returns the arrival times of poison requests at the servers, in order.
 fn arrivals(servers: &[Arc<FakeServer>]) -> Vec<Instant> {
-    let of =
-        |server: &Arc<FakeServer>| server.fatal_arrivals.lock().map(|all| all.clone()).unwrap_or_default();
-    let mut all: Vec<Instant> = servers.iter().flat_map(of).collect();
-    all.sort();
-    all
+    let arrival_times = |server: &Arc<FakeServer>| {
+        server.fatal_arrivals.lock().map(|times| times.clone()).unwrap_or_default()
+    };
+    let mut times: Vec<Instant> = servers.iter().flat_map(arrival_times).collect();
+    times.sort();
+    times
 }
 
-/// Sends the fatal request once more, to one entry after the other.
-async fn send_fatal(fleet: &Fleet, path: &str, number: u32) {
+/// Sends the poison request once, to the entries in turn.
+async fn send_poison(fleet: &Fleet, path: &str, number: u32) {
     let request = fleet.request((number % 2) as u8, path, &format!("fatal-{number}"));
-    // Cut midway, refused or failed: its caller comes again in any case.
+    // Truncated, refused or failed: the caller retries in any case.
     if let Ok(answer) = request.body(ENDS_SERVERS).send().await {
         let _ = answer.text().await;
     }
 }
 
-/// Sends the fatal request from two callers' machines until the bound has passed and for a second after it.
-async fn insist(fleet: &Fleet, servers: &[Arc<FakeServer>], path: &str) {
+/// Sends the poison request from two concurrent callers until one second after the time limit for its quarantine.
+async fn send_past_quarantine_limit(fleet: &Fleet, servers: &[Arc<FakeServer>], path: &str) {
     let mut number = 0;
     loop {
-        tokio::join!(send_fatal(fleet, path, number), send_fatal(fleet, path, number + 1));
+        tokio::join!(send_poison(fleet, path, number), send_poison(fleet, path, number + 1));
         number += 2;
-        let third = arrivals(servers).get(ENDED - 1).copied();
-        if third.is_some_and(|at| at.elapsed() > KNOWN_WITHIN + Duration::from_secs(1)) {
+        let third = arrivals(servers).get(CRASHES_TO_QUARANTINE - 1).copied();
+        if third.is_some_and(|at| at.elapsed() > QUARANTINED_WITHIN + Duration::from_secs(1)) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -91,10 +93,10 @@
 }
 
 fn assert_contained(arrivals: &[Instant]) {
-    let known_at = arrivals[ENDED - 1] + KNOWN_WITHIN;
-    let later = arrivals.iter().filter(|at| **at > known_at).count();
-    assert!(later <= MOST_SENDS_LATER, "sent {later} times more after three servers had ended under it");
-    assert!(arrivals.len() <= MOST_ENDED, "{} servers ended under it", arrivals.len());
+    let quarantine_deadline = arrivals[CRASHES_TO_QUARANTINE - 1] + QUARANTINED_WITHIN;
+    let later = arrivals.iter().filter(|at| **at > quarantine_deadline).count();
+    assert!(later <= MAX_SENDS_AFTER, "sent {later} more times after it had crashed three servers");
+    assert!(arrivals.len() <= MAX_CRASHES, "{} servers crashed", arrivals.len());
 }
 
 #[yare::parameterized(
@@ -102,45 +104,45 @@
     entries_dispatch = { LARGE_FLEET },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread", worker_threads = 2))]
-async fn a_request_under_which_three_servers_have_ended_is_sent_to_no_more(
+async fn a_request_that_crashed_three_servers_is_quarantined(
     leader_dispatches_up_to: u32,
 ) -> reqwest::Result<()> {
     let (fleet, models) = with_four_groups(leader_dispatches_up_to).await;
-    insist(&fleet, &models, "/stream/2").await;
+    send_past_quarantine_limit(&fleet, &models, "/stream/2").await;
     assert_contained(&arrivals(&models));
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_same_holds_for_servers_of_plain_services() -> reqwest::Result<()> {
+async fn a_request_that_crashed_three_plain_servers_is_quarantined() -> reqwest::Result<()> {
     let (fleet, servers) = with_four_plain_servers().await;
-    insist(&fleet, &servers, "/plain/2").await;
+    send_past_quarantine_limit(&fleet, &servers, "/plain/2").await;
     assert_contained(&arrivals(&servers));
     Ok(())
 }
 
-/// Callers that share servers with such a request lose nothing but a moment: what ran beside it goes on elsewhere, and
-/// the same path and another body are another request.
+/// Other requests on the same servers are only delayed: they continue on other servers, and requests with the same path and
+/// another body are not affected by the quarantine.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_ran_beside_such_a_request_is_answered_whole() -> reqwest::Result<()> {
+async fn requests_beside_a_poison_request_are_answered_completely() -> reqwest::Result<()> {
     let (fleet, models) = with_four_groups(SMALL_FLEET).await;
-    let beside: Vec<_> = (0..8)
+    let concurrent: Vec<_> = (0..8)
         .map(|number| {
             let request = fleet.request(number % 2, "/stream/2", &format!("beside-{number}"));
             tokio::spawn(request.body(format!("body {number}")).send())
         })
         .collect();
-    eventually("streams have begun", || models.iter().any(|server| server.runs.load(Ordering::SeqCst) > 0))
+    eventually("no stream began", || models.iter().any(|server| server.runs.load(Ordering::SeqCst) > 0))
         .await;
-    send_fatal(&fleet, "/stream/2", 0).await;
-    for stream in beside {
+    send_poison(&fleet, "/stream/2", 0).await;
+    for stream in concurrent {
         let answer = stream.await.unwrap_or_else(|error| panic!("{error}"))?;
         assert_eq!(answer.status(), StatusCode::OK);
-        // A panic keeps the daemons' logs.
+        // Panics so that the daemons' logs are kept.
         let text = answer.text().await.unwrap_or_else(|error| panic!("{error:?}"));
         assert_eq!(text, whole_stream());
     }
-    insist(&fleet, &models, "/stream/2").await;
+    send_past_quarantine_limit(&fleet, &models, "/stream/2").await;
     fleet.wait_until_open("writer", 4).await;
     for number in 0..8 {
         let request = fleet.request(number % 2, "/stream/2", &format!("after-{number}"));
@@ -150,14 +152,14 @@
     Ok(())
 }
 
-/// Sends the fatal request to an entry until it is answered with a code, and returns that answer.
-async fn until_refused(
+/// Sends the poison request to an entry until it is refused with a code, and returns the response to another attempt.
+async fn send_until_refused(
     fleet: &Fleet,
     entry: u8,
     path: &str,
     code: u64,
 ) -> reqwest::Result<reqwest::Response> {
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in 0.. {
         let request = fleet.request(entry, path, &format!("refused-{entry}-{number}")).body(ENDS_SERVERS);
         let answer = request.send().await?;
@@ -168,7 +170,10 @@
         if is_refused && body["error"]["code"] == code {
             break;
         }
-        assert!(begun.elapsed() < LIMIT, "entry {entry} never answers {code}, but {status}: {body}");
+        assert!(
+            started.elapsed() < LIMIT,
+            "entry {entry} does not respond with {code}, but {status}: {body}"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     fleet.request(entry, path, "once more").body(ENDS_SERVERS).send().await
@@ -180,28 +185,28 @@
     Ok((answer.status(), answer.json().await.unwrap_or_default()))
 }
 
-/// The list of requests under quarantine, once the member that is asked has heard of one.
-async fn listed(fleet: &Fleet) -> reqwest::Result<Value> {
-    let begun = Instant::now();
+/// Returns the list of quarantined requests, once the queried member knows of one.
+async fn quarantine_list(fleet: &Fleet) -> reqwest::Result<Value> {
+    let started = Instant::now();
     loop {
         let (status, list) = operator_call(fleet, Method::GET, "").await?;
         assert_eq!(status, StatusCode::OK);
         if list["items"].as_array().is_some_and(|items| !items.is_empty()) {
             return Ok(list);
         }
-        assert!(begun.elapsed() < LIMIT, "{list}");
+        assert!(started.elapsed() < LIMIT, "{list}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A refusal is final, says that the request may have run, and an operator finds it, its servers and its release.
+/// A refusal is final and says that the request may have run. Operators can list the request with its evidence, and release it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_operator_finds_what_is_under_quarantine_and_releases_it() -> reqwest::Result<()> {
+async fn operators_can_list_and_release_quarantined_requests() -> reqwest::Result<()> {
     let (fleet, models) = with_four_groups(SMALL_FLEET).await;
-    let refused = until_refused(&fleet, 0, "/stream/2", QUARANTINED).await?;
+    let refused = send_until_refused(&fleet, 0, "/stream/2", QUARANTINED).await?;
     assert_eq!(refused.status(), StatusCode::BAD_GATEWAY);
-    assert!(!refused.headers().contains_key("retry-after"), "nothing invites it back");
-    let list = listed(&fleet).await?;
+    assert!(!refused.headers().contains_key("retry-after"), "the refusal asks the caller to retry");
+    let list = quarantine_list(&fleet).await?;
     let items = list["items"].as_array().cloned().unwrap_or_default();
     assert_eq!(items.len(), 1, "{list}");
     assert_eq!(items[0]["tenant"], "x");
@@ -213,44 +218,44 @@
     assert_eq!(operator_call(&fleet, Method::DELETE, &path).await?.0, StatusCode::OK);
     let (_, explained) = operator_call(&fleet, Method::GET, &path).await?;
     assert_eq!(explained["standing"], "unsuspected");
-    let begun = Instant::now();
+    let started = Instant::now();
     while arrivals(&models).len() == before {
-        send_fatal(&fleet, "/stream/2", 0).await;
-        assert!(begun.elapsed() < LIMIT, "it is never sent again");
+        send_poison(&fleet, "/stream/2", 0).await;
+        assert!(started.elapsed() < LIMIT, "the released request is not sent");
     }
     let (status, body) = operator_call(&fleet, Method::DELETE, "/no-fingerprint").await?;
     assert_eq!((status, body["error"]["code"].as_u64()), (StatusCode::BAD_REQUEST, Some(4_029)));
     Ok(())
 }
 
-/// What was found out outlives all processes but for what the members hold on their disks, and entries that start anew know
-/// it before they send anything.
+/// A quarantine survives a restart of all daemons through the disks of the members, and restarted entries know it before they
+/// send any request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_quarantine_outlives_the_restart_of_all_daemons() -> reqwest::Result<()> {
+async fn a_quarantine_survives_a_restart_of_all_daemons() -> reqwest::Result<()> {
     let (mut fleet, models) = with_four_groups(SMALL_FLEET).await;
-    until_refused(&fleet, 0, "/stream/2", QUARANTINED).await?;
+    send_until_refused(&fleet, 0, "/stream/2", QUARANTINED).await?;
     let before = arrivals(&models).len();
     fleet.members.iter_mut().chain(&mut fleet.entries).for_each(Daemon::kill);
     fleet.members.iter_mut().chain(&mut fleet.entries).for_each(Daemon::start);
     fleet.wait_until_served("/stream/1").await;
     for entry in 0..2 {
-        until_refused(&fleet, entry, "/stream/2", QUARANTINED).await?;
+        send_until_refused(&fleet, entry, "/stream/2", QUARANTINED).await?;
     }
-    assert_eq!(arrivals(&models).len(), before, "no server had it again");
+    assert_eq!(arrivals(&models).len(), before, "a server received the request after the restart");
     Ok(())
 }
 
-/// The leader, which sums the evidence, and the entry, which holds a trial, are lost one after the other while servers end.
+/// The leader, which collects the evidence, and the entry, which holds a trial, fail one after the other while servers crash.
 #[yare::parameterized(
     the_leader_dispatches = { SMALL_FLEET },
     entries_dispatch = { LARGE_FLEET },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread", worker_threads = 2))]
-async fn what_the_leader_and_an_entry_knew_is_not_lost_with_them(
+async fn evidence_survives_the_loss_of_the_leader_and_an_entry(
     leader_dispatches_up_to: u32,
 ) -> reqwest::Result<()> {
     let (mut fleet, models) = with_four_groups(leader_dispatches_up_to).await;
-    send_fatal(&fleet, "/stream/2", 0).await;
+    send_poison(&fleet, "/stream/2", 0).await;
     for member in 0..fleet.members.len() {
         if fleet.leads(member as u8).await {
             fleet.members[member].kill();
@@ -259,15 +264,15 @@
     fleet.entries[0].kill();
     fleet.entries[0].start();
     fleet.wait_until_served("/stream/1").await;
-    insist(&fleet, &models, "/stream/2").await;
+    send_past_quarantine_limit(&fleet, &models, "/stream/2").await;
     let arrivals = arrivals(&models);
-    assert!(arrivals.len() <= MOST_ENDED, "{} servers ended under it", arrivals.len());
+    assert!(arrivals.len() <= MAX_CRASHES, "{} servers crashed", arrivals.len());
     Ok(())
 }
 
-/// An entry that stood still with the request in its hand looks again before it writes.
+/// An entry that was suspended while it held the request checks the quarantine again before it writes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_entry_that_stood_still_sends_nothing_that_came_under_quarantine() -> reqwest::Result<()> {
+async fn a_suspended_entry_does_not_send_a_quarantined_request() -> reqwest::Result<()> {
     let (fleet, models) = with_four_groups(SMALL_FLEET).await;
     fleet.entries[1].signal("-STOP");
     let held: Vec<_> = (0..4)
@@ -276,21 +281,21 @@
             tokio::spawn(request.send())
         })
         .collect();
-    until_refused(&fleet, 0, "/stream/2", QUARANTINED).await?;
-    tokio::time::sleep(STANDS_STILL).await;
+    send_until_refused(&fleet, 0, "/stream/2", QUARANTINED).await?;
+    tokio::time::sleep(SUSPENSION).await;
     let before = arrivals(&models).len();
     fleet.entries[1].signal("-CONT");
     for answer in held {
         let answer = answer.await.unwrap_or_else(|error| panic!("{error}"))?;
         assert!(answer.status().is_server_error(), "{}", answer.status());
     }
-    assert_eq!(arrivals(&models).len(), before, "no server had it from the entry that had stood still");
+    assert_eq!(arrivals(&models).len(), before, "the suspended entry sent the request to a server");
     Ok(())
 }
 
-/// Servers that start again under the ids that they had: each end counts.
+/// Every crash counts, also of servers that restart with the same ids.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn servers_that_are_back_under_their_ids_are_told_apart_by_time() -> reqwest::Result<()> {
+async fn crashes_of_servers_that_keep_their_ids_are_counted_separately() -> reqwest::Result<()> {
     let fleet = Fleet::start();
     let mut servers = Vec::new();
     for (number, zone) in ["z", "y"].into_iter().enumerate() {
@@ -299,24 +304,24 @@
     }
     fleet.configure(&configuration(1)).await;
     fleet.wait_until_served("/plain/1").await;
-    insist(&fleet, &servers, "/plain/2").await;
+    send_past_quarantine_limit(&fleet, &servers, "/plain/2").await;
     assert_contained(&arrivals(&servers));
     Ok(())
 }
 
-/// What may run once is sent once for each try, and its tries are counted all the same.
+/// At-most-once requests are sent once per attempt, and the attempts of their callers are counted as well.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn requests_that_may_run_once_come_under_quarantine_too() -> reqwest::Result<()> {
+async fn at_most_once_requests_are_quarantined() -> reqwest::Result<()> {
     let (fleet, servers) = with_four_plain_servers().await;
-    insist(&fleet, &servers, "/once/2").await;
+    send_past_quarantine_limit(&fleet, &servers, "/once/2").await;
     assert_contained(&arrivals(&servers));
-    until_refused(&fleet, 0, "/once/2", QUARANTINED).await?;
+    send_until_refused(&fleet, 0, "/once/2", QUARANTINED).await?;
     Ok(())
 }
 
-/// A connection that breaks while the server lives tells nothing against the request.
+/// A broken connection to a server that has not crashed is no evidence against the request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn lost_answers_of_servers_that_live_throw_no_suspicion() -> reqwest::Result<()> {
+async fn lost_responses_of_running_servers_are_no_evidence() -> reqwest::Result<()> {
     let (fleet, servers) = super::with_plain_servers().await;
     servers.iter().for_each(|server| server.set_manner(Manner::LosesAnswers));
     for number in 0..6 {
@@ -330,13 +335,13 @@
     Ok(())
 }
 
-/// A group that stands still, as one does that was cut off or has lost a member, tells nothing against what it ran.
+/// A stalled group, for instance after a network partition or the loss of a member, is no evidence against its requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_group_that_stands_still_throws_no_suspicion() -> reqwest::Result<()> {
+async fn a_stalled_group_is_no_evidence() -> reqwest::Result<()> {
     let (fleet, models) = super::with_groups().await;
-    eventually("warm-up requests have left", || super::serving(&models).is_none()).await;
+    eventually("warm-up requests did not end", || super::serving(&models).is_none()).await;
     let streaming = tokio::spawn(fleet.request(0, "/stream/2", "stands-still").send());
-    eventually("the stream has begun", || super::serving(&models).is_some()).await;
+    eventually("the stream did not begin", || super::serving(&models).is_some()).await;
     if let Some(server) = super::serving(&models) {
         server.stands_still.store(true, Ordering::SeqCst);
     }
@@ -347,19 +352,19 @@
     Ok(())
 }
 
-/// A server that fails requests before it runs them proves nothing in favour of this one.
+/// An error response does not clear a suspect, as a server may fail a request before it runs it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failure_that_a_server_answers_clears_nothing() -> reqwest::Result<()> {
+async fn an_error_response_does_not_clear_a_suspect() -> reqwest::Result<()> {
     let (fleet, servers) = with_four_plain_servers().await;
-    send_fatal(&fleet, "/once/2", 0).await;
+    send_poison(&fleet, "/once/2", 0).await;
     let failing = Manner::Fails(StatusCode::INTERNAL_SERVER_ERROR);
     servers.iter().for_each(|server| server.set_manner(failing));
     for number in 1..4 {
-        send_fatal(&fleet, "/once/2", number).await;
+        send_poison(&fleet, "/once/2", number).await;
     }
     servers.iter().for_each(|server| server.set_manner(Manner::Sound));
-    assert_eq!(fleet.metric(0, "dockwood_suspects").await?, 1.0, "it is suspected still");
-    insist(&fleet, &servers, "/once/2").await;
+    assert_eq!(fleet.metric(0, "dockwood_suspects").await?, 1.0, "the request is no longer a suspect");
+    send_past_quarantine_limit(&fleet, &servers, "/once/2").await;
     assert_contained(&arrivals(&servers));
     Ok(())
 }
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Whom a daemon asks for the control leader, in turn.
+//! The order in which a daemon asks other daemons for the control leader.
 
 use dockwood_daemon::control::ControlHandle;
 use dockwood_daemon::metrics::Metrics;
@@ -14,7 +14,7 @@
     SocketAddr::from(([127, 0, 9, number], 7_100))
 }
 
-/// An entry that has just started: it knows its seeds.
+/// Creates the state of an entry that has just started and knows only its seeds.
 fn entry() -> Shared {
     let seeds: Vec<String> = SEEDS.iter().map(|seed| format!("\"127.0.9.{seed}:7200\"")).collect();
     let text = format!(
@@ -23,8 +23,8 @@
          gateway: {{ frontend: \"127.0.9.9:3\", readiness: \"127.0.9.9:4\", directory: \"127.0.9.9:5\" }}\n",
         seeds.join(", ")
     );
-    let folder = tempfile::tempdir().unwrap_or_else(|error| panic!("{error}"));
-    let path = folder.path().join("entry.yaml");
+    let directory = tempfile::tempdir().unwrap_or_else(|error| panic!("{error}"));
+    let path = directory.path().join("entry.yaml");
     std::fs::write(&path, text).unwrap_or_else(|error| panic!("{error}"));
     let settings = Settings::read(&path).unwrap_or_else(|problems| panic!("{problems:?}"));
     let metrics = Metrics::new().unwrap_or_else(|error| panic!("{error}"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn two_members_that_name_one_another_do_not_hide_the_third() {
+fn members_that_name_each_other_as_leader_do_not_hide_a_third_one() {
     let shared = entry();
     let mut targets = Targets::new(&shared);
     let mut asked = BTreeSet::new();
@@ -42,11 +42,11 @@
         let other = if target == member(1) { member(2) } else { member(1) };
         targets.refused(target, Some(other).filter(|_| target != member(3)));
     }
-    assert!(asked.contains(&member(3)), "asked were {asked:?}");
+    assert!(asked.contains(&member(3)), "only {asked:?} were asked");
 }
 
 #[test]
-fn a_named_leader_is_asked_next_and_once() {
+fn a_named_leader_is_asked_next_and_only_once() {
     let shared = entry();
     let mut targets = Targets::new(&shared);
     let first = targets.next(&shared);
@@ -57,23 +57,23 @@
 }
 
 #[test]
-fn a_leader_that_makes_itself_known_is_asked_at_once_and_stays_among_the_known() {
+fn an_announced_leader_is_asked_next_and_stays_a_candidate() {
     let shared = entry();
     let mut targets = Targets::new(&shared);
     targets.refused(member(1), Some(member(2)));
     assert!(shared.known_leader.announced(0, member(8), 3));
     assert_eq!(targets.next(&shared), member(8));
     targets.failed();
-    let rounds: BTreeSet<SocketAddr> = (0..8).map(|_| targets.next(&shared)).collect();
-    assert_eq!(rounds, BTreeSet::from([member(1), member(2), member(3), member(8)]));
+    let candidates: BTreeSet<SocketAddr> = (0..8).map(|_| targets.next(&shared)).collect();
+    assert_eq!(candidates, BTreeSet::from([member(1), member(2), member(3), member(8)]));
 }
 
 #[test]
-fn daemons_that_asked_are_a_source_and_their_number_is_bounded() {
+fn daemons_that_asked_for_a_lease_are_remembered_up_to_a_limit() {
     let shared = entry();
     assert_eq!(shared.next_asker(), None);
     (0..100).for_each(|number| shared.note_asker(member(100 + number)));
     let askers: BTreeSet<SocketAddr> = (0..200).filter_map(|_| shared.next_asker()).collect();
     assert_eq!(askers.len(), 32);
-    assert!(askers.contains(&member(199)), "the newest are kept");
+    assert!(askers.contains(&member(199)), "the most recent daemon is missing");
 }
