--- a/crates/daemon/src/control/group_orders.rs
+++ b/crates/daemon/src/control/group_orders.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::log_line::{LineBody, OrderLine};
 use crate::logging;
-use crate::pushback::{Addressee, SendPermit, SendPurpose, signals_of};
+use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::shared::Shared;
 use dockwood_api::gateway::{GroupOrder, OrderAnswer};
 use dockwood_control::{InstanceProbe, ProbeQuestion, ProbeResult};
@@ -86,10 +86,10 @@
 
     /// The instance that is asked. Questions are no requests, but a server that wants nothing is spared them, too; orders go
     /// to it all the same, as groups have to be closed and left in time.
-    fn addressee(&self, probe: &InstanceProbe) -> Addressee {
+    fn addressee(&self, probe: &InstanceProbe) -> SendTarget {
         let tables = self.shared.tables();
         let row = tables.gateway.instances.get(&probe.instance);
-        row.map_or_else(|| Addressee::named(&probe.instance, 1), |row| Addressee::instance(row))
+        row.map_or_else(|| SendTarget::named(&probe.instance, 1), |row| SendTarget::instance(row))
     }
 
     /// What an answer shows of who gave it.
--- a/crates/daemon/src/gateway/loads/mod.rs
+++ b/crates/daemon/src/gateway/loads/mod.rs
@@ -10,7 +10,7 @@
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::log_line::ChosenBy;
-use crate::pushback::{Addressee, AllHeld};
+use crate::pushback::{AllHeld, SendTarget};
 use dockwood_api::gateway::{EventPace, ModelLoad};
 use dockwood_routing::Millis;
 use dockwood_routing::gateway::{AllowedZones, Candidate, PaceEstimates, choose, timely_event_ms};
@@ -57,7 +57,7 @@
     /// Address of its head.
     pub head: SocketAddr,
     /// Its head, as what is sent to it is answered for.
-    pub addressee: Addressee,
+    pub addressee: SendTarget,
     /// The head is cold, as far as this entry knows.
     pub is_cold: bool,
     /// Nothing may be sent from then on; `None` if the place may be used at any time.
@@ -115,7 +115,7 @@
 ) -> Option<GroupPlace> {
     let group = groups.get_mut(&epoch)?;
     group.in_flight += 1;
-    let addressee = Addressee::head(&group.row, group.slots);
+    let addressee = SendTarget::head(&group.row, group.slots);
     let tables = gateway.shared.tables();
     let is_limited = group.is_cold(monotonic_ms());
     let valid_until = place_valid_until(&tables.gateway, &group.row.service, is_limited, asked_at);
--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -10,7 +10,7 @@
 use super::refusal::{RETRY_SOON_MS, refuse};
 use super::targets::{Picked, pick_for};
 use super::upstream::Upstream;
-use crate::pushback::{Addressee, SendPermit, SendPurpose, Unavailable};
+use crate::pushback::{SendPermit, SendPurpose, SendTarget, Unavailable};
 use crate::suspects::{Admission, SuspectGate};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
@@ -239,7 +239,7 @@
         };
         let (service, server) = (&self.received.service.name, &picked.row);
         let purpose = SendPurpose::Request { rank: self.received.rank };
-        let permit = SendPermit::ask(&self.gateway.shared, Addressee::instance(server), purpose).await;
+        let permit = SendPermit::ask(&self.gateway.shared, SendTarget::instance(server), purpose).await;
         // From here on nothing is waited for until the request is written.
         let metrics = &self.gateway.shared.metrics;
         let is_timely =
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -4,7 +4,7 @@
 use super::loads::GroupPlace;
 use super::targets::Picked;
 use crate::log_line::ChosenBy;
-use crate::pushback::Addressee;
+use crate::pushback::SendTarget;
 use std::net::SocketAddr;
 
 /// Where a stream comes from.
@@ -43,10 +43,10 @@
     }
 
     /// The server that is sent the request, as what is sent to it is answered for.
-    pub fn addressee(&self) -> Addressee {
+    pub fn addressee(&self) -> SendTarget {
         match self {
             Source::Group(place) => place.addressee.clone(),
-            Source::Server(picked) => Addressee::instance(&picked.row),
+            Source::Server(picked) => SendTarget::instance(&picked.row),
         }
     }
 
--- a/crates/daemon/src/pushback/mod.rs
+++ b/crates/daemon/src/pushback/mod.rs
@@ -46,7 +46,7 @@
 
 /// A server as the destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Addressee {
+pub struct SendTarget {
     /// Server id and start time, which identify one run of the server.
     pub start: ServerStart,
     /// Epoch of the group that it is the head of, if any: its signals apply to the group.
@@ -57,26 +57,26 @@
     pub zone: Option<String>,
 }
 
-impl Addressee {
+impl SendTarget {
     /// Returns the destination for a server that registered itself.
-    pub fn instance(row: &InstanceRow) -> Addressee {
-        Addressee { start: start_of(row), group: None, places: row.slots, zone: Some(row.zone.clone()) }
+    pub fn instance(row: &InstanceRow) -> SendTarget {
+        SendTarget { start: start_of(row), group: None, places: row.slots, zone: Some(row.zone.clone()) }
     }
 
     /// Returns the destination for the head of a group that processes `places` requests concurrently.
-    pub fn head(row: &GroupRow, places: u32) -> Addressee {
-        Addressee { start: head_of(row), group: Some(row.epoch), places, zone: Some(row.zone.clone()) }
+    pub fn head(row: &GroupRow, places: u32) -> SendTarget {
+        SendTarget { start: head_of(row), group: Some(row.epoch), places, zone: Some(row.zone.clone()) }
     }
 
     /// Returns the destination for a server of which only the name is known.
-    pub fn named(name: &str, places: u32) -> Addressee {
+    pub fn named(name: &str, places: u32) -> SendTarget {
         let start = ServerStart { id: name.to_string(), started_ms: None };
-        Addressee { start, group: None, places, zone: None }
+        SendTarget { start, group: None, places, zone: None }
     }
 
     /// Returns the destination for a server of which only the address is known.
-    pub fn at(address: SocketAddr, places: u32) -> Addressee {
-        Addressee::named(&address.to_string(), places)
+    pub fn at(address: SocketAddr, places: u32) -> SendTarget {
+        SendTarget::named(&address.to_string(), places)
     }
 }
 
--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -1,7 +1,7 @@
 //! Permission to send one request to one server.
 
 use super::rate_limit::{GrantDecision, request_grant};
-use super::{Addressee, update_hold_metrics, update_limit_metric};
+use super::{SendTarget, update_hold_metrics, update_limit_metric};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::shared::Shared;
@@ -34,7 +34,7 @@
 /// Permission to send one request to one server. It records the pushback signals of the response head.
 pub struct SendPermit {
     shared: Arc<Shared>,
-    addressee: Addressee,
+    addressee: SendTarget,
     kind: SendKind,
     /// When the permit was acquired.
     acquired_at: Millis,
@@ -52,7 +52,7 @@
     /// Returns why the server is on hold.
     pub async fn ask(
         shared: &Arc<Shared>,
-        addressee: Addressee,
+        addressee: SendTarget,
         purpose: SendPurpose,
     ) -> Result<SendPermit, Hold> {
         if let (SendPurpose::Request { rank }, Some(rate)) =
@@ -81,7 +81,7 @@
     }
 
     /// Returns a permit to continue reading a request that the server already runs: this is no new request.
-    pub fn of_running(shared: &Arc<Shared>, addressee: Addressee) -> SendPermit {
+    pub fn of_running(shared: &Arc<Shared>, addressee: SendTarget) -> SendPermit {
         let (kind, acquired_at) = (SendKind::Usual, monotonic_ms());
         let shared = shared.clone();
         SendPermit { shared, addressee, kind, acquired_at, may_end_limit: false, accepted: false }
@@ -149,7 +149,7 @@
         &self.shared
     }
 
-    pub(super) fn addressee(&self) -> &Addressee {
+    pub(super) fn addressee(&self) -> &SendTarget {
         &self.addressee
     }
 }
@@ -157,7 +157,7 @@
 /// Acquires a grant for a server with a rate limit; without one, puts the server on hold until the next grant.
 async fn acquire_grant(
     shared: &Arc<Shared>,
-    addressee: &Addressee,
+    addressee: &SendTarget,
     rate: RequestRate,
     rank: u32,
 ) -> Result<(), Hold> {
--- a/crates/daemon/src/pushback/rate_limit.rs
+++ b/crates/daemon/src/pushback/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Distributed rate limiting of requests to a server that announced a limit. One daemon, the limiter of the server, grants
 //! each request. The limiter is chosen by rendezvous hashing, so that all entries ask the same one without coordination.
 
-use super::{Addressee, Pushback};
+use super::{Pushback, SendTarget};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::shared::Shared;
@@ -37,7 +37,7 @@
 /// is not asked again for a while, and the next one in rendezvous order replaces it.
 pub(super) async fn request_grant(
     shared: &Arc<Shared>,
-    addressee: &Addressee,
+    addressee: &SendTarget,
     rate: RequestRate,
     rank: u32,
 ) -> GrantDecision {
@@ -52,7 +52,7 @@
 
 async fn query_limiters(
     shared: &Arc<Shared>,
-    addressee: &Addressee,
+    addressee: &SendTarget,
     rate: RequestRate,
     rank: u32,
 ) -> GrantDecision {
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -3,7 +3,7 @@
 use super::run::Run;
 use super::{ChatJob, Failure};
 use crate::clock::monotonic_ms;
-use crate::pushback::{Addressee, AllHeld};
+use crate::pushback::{AllHeld, SendTarget};
 use crate::suspects::{Admission, SuspectGate};
 use crate::traffic::Traffic;
 use crate::traffic::slots::HeldSlot;
@@ -75,10 +75,10 @@
     }
 
     /// The head of a slot's replica, as what is sent to it is answered for.
-    pub(super) fn addressee(&self, slot: &HeldSlot) -> Addressee {
+    pub(super) fn addressee(&self, slot: &HeldSlot) -> SendTarget {
         let tables = self.traffic.shared.tables();
         let places = tables.deployment(&self.pool()).map_or(1, |spec| spec.slots_per_replica);
-        Addressee::at(slot.grant.head, places)
+        SendTarget::at(slot.grant.head, places)
     }
 
     /// Avoids a replica whose head rests or leaves. Coordinators grant slots of avoided replicas only where no other one
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -5,7 +5,7 @@
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::own_dialect::OWN_SIGNALS;
-use crate::pushback::{Addressee, SendPermit, SendPurpose, signals_of};
+use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::suspects::{Admission, SuspectGate, has_ended};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
@@ -241,8 +241,8 @@
 const CALL: SendPurpose = SendPurpose::Request { rank: 0 };
 
 /// A server as what is sent to it is answered for.
-fn addressee(server: &ServiceServer, spec: &ServiceSpec) -> Addressee {
-    Addressee::named(&server.name, spec.slots_per_server)
+fn addressee(server: &ServiceServer, spec: &ServiceSpec) -> SendTarget {
+    SendTarget::named(&server.name, spec.slots_per_server)
 }
 
 /// A server to which the call may be sent, or why there is none. Its guard is held while the gate is
--- a/crates/daemon/tests/one_entry/limits.rs
+++ b/crates/daemon/tests/one_entry/limits.rs
@@ -3,7 +3,7 @@
 use crate::entry::Entry;
 use crate::pushback::{ask_first, with_plain_server};
 use crate::scripted_server::{Reply, ScriptedServer, rejects, serves};
-use dockwood_daemon::pushback::{Addressee, SendPermit, SendPurpose};
+use dockwood_daemon::pushback::{SendPermit, SendPurpose, SendTarget};
 use dockwood_routing::pushback::{Hold, RequestRate, ServerStart};
 use std::io::Result;
 use std::sync::Arc;
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn a_question_about_the_server_takes_no_turn() -> Result<()> {
     let (entry, _server) = told_by(serves_with(LIMIT)).await?;
-    let addressee = || Addressee::instance(&entry.shared.tables().gateway.instances["board-z"]);
+    let addressee = || SendTarget::instance(&entry.shared.tables().gateway.instances["board-z"]);
     for _ in 0..5 {
         assert!(SendPermit::ask(&entry.shared, addressee(), SendPurpose::Question).await.is_ok());
     }
--- a/crates/daemon/tests/one_entry/pushback.rs
+++ b/crates/daemon/tests/one_entry/pushback.rs
@@ -4,7 +4,7 @@
 use crate::entry::{Entry, eventually, runtime_that_accepts_first};
 use crate::scripted_server::{Reply, ScriptedServer, rejects, serves};
 use dockwood_daemon::clock::monotonic_ms;
-use dockwood_daemon::pushback::{Addressee, SendPermit, SendPurpose};
+use dockwood_daemon::pushback::{SendPermit, SendPurpose, SendTarget};
 use dockwood_routing::pushback::{AnswerSignals, LeavingMark, NamedLimit, RetryAfter};
 use futures::FutureExt;
 use std::io::Result;
@@ -234,7 +234,7 @@
 /// Another request's answer asks for a long rest.
 fn note_rest(entry: &Entry) {
     let tables = entry.shared.tables();
-    let addressee = Addressee::instance(&tables.gateway.instances["server"]);
+    let addressee = SendTarget::instance(&tables.gateway.instances["server"]);
     // Nothing is waited for: the server has named no limit.
     let asked = SendPermit::ask(&entry.shared, addressee, SendPurpose::Question).now_or_never();
     let Some(Ok(mut permit)) = asked else { return };
