--- a/crates/daemon/src/gateway/loads/holds.rs
+++ b/crates/daemon/src/gateway/loads/holds.rs
@@ -3,7 +3,7 @@
 use super::{GroupState, Loads, PlaceQuery};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
-use crate::pushback::{AllHeld, Pushback, head_of};
+use crate::pushback::{HeldServers, Pushback, head_of};
 use dockwood_api::gateway::LimitedGroup;
 use dockwood_routing::Millis;
 use dockwood_routing::pushback::{Hold, interval_ms};
@@ -14,7 +14,7 @@
     /// Epochs of those that are held back.
     pub held: Vec<u64>,
     /// Their heads.
-    pub heads: AllHeld,
+    pub heads: HeldServers,
     /// There is one that is not held back and was not tried yet.
     pub has_other: bool,
 }
@@ -41,9 +41,14 @@
     }
 
     /// What a request is told whose groups are all at their limits, the first of them until this has passed.
-    pub fn all_at_limit(&self, query: PlaceQuery<'_>, pushback: &Pushback, free_in_ms: Millis) -> AllHeld {
+    pub fn all_at_limit(
+        &self,
+        query: PlaceQuery<'_>,
+        pushback: &Pushback,
+        free_in_ms: Millis,
+    ) -> HeldServers {
         let until = monotonic_ms() + free_in_ms;
-        let mut held = AllHeld::default();
+        let mut held = HeldServers::default();
         let groups = lock(&self.groups);
         let limited = groups.values().filter(|group| group.may_run(&query));
         let heads = limited.map(|group| head_of(&group.row)).filter(|head| pushback.limit(head).is_some());
--- a/crates/daemon/src/gateway/loads/mod.rs
+++ b/crates/daemon/src/gateway/loads/mod.rs
@@ -10,7 +10,7 @@
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::log_line::ChosenBy;
-use crate::pushback::{AllHeld, SendTarget};
+use crate::pushback::{HeldServers, SendTarget};
 use dockwood_api::gateway::{EventPace, ModelLoad};
 use dockwood_routing::Millis;
 use dockwood_routing::gateway::{AllowedZones, Candidate, PaceEstimates, choose, timely_event_ms};
@@ -79,7 +79,7 @@
     /// A place.
     Taken(GroupPlace),
     /// The heads of all groups that were not tried yet rest or leave.
-    Held(AllHeld),
+    Held(HeldServers),
     /// Every group is full.
     Full,
     /// No group serves the model.
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -5,7 +5,7 @@
 use super::regions::none_serves;
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
-use crate::pushback::{AllHeld, Unavailable, start_of};
+use crate::pushback::{HeldServers, Unavailable, start_of};
 use crate::suspects::SuspectGate;
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{ColdStart, InstanceState, ServiceProfile};
@@ -84,7 +84,7 @@
     gateway: &Gateway,
     ready: Vec<&'a Arc<InstanceRow>>,
     tried: &[String],
-) -> Result<Vec<&'a Arc<InstanceRow>>, AllHeld> {
+) -> Result<Vec<&'a Arc<InstanceRow>>, HeldServers> {
     let (mut others, held) = gateway.shared.pushback.split(ready.into_iter(), |row| start_of(row));
     others.retain(|row| !tried.contains(&row.id));
     if others.is_empty() && !held.is_empty() { Err(held) } else { Ok(others) }
@@ -122,7 +122,7 @@
     let instances = &tables.gateway.instances;
     let cold_start = tables.gateway.cold_start(&service.name);
     let ready = ready_servers(&tables.gateway, &service.name, zones);
-    let ready = not_held(gateway, ready, tried).map_err(AllHeld::refused)?;
+    let ready = not_held(gateway, ready, tried).map_err(HeldServers::refused)?;
     let open = open_servers(gateway, &tables, cold_start.as_ref(), &ready);
     if open.is_empty() && !ready.is_empty() {
         gateway.shared.metrics.cold_limited.with_label_values(&["noShare"]).inc();
--- a/crates/daemon/src/pushback/mod.rs
+++ b/crates/daemon/src/pushback/mod.rs
@@ -16,7 +16,7 @@
 pub use headers::{SignalHeaders, signals_of};
 pub use limit_sync::run_sharing;
 pub use permit::{SendPermit, SendPurpose};
-pub use unavailable::{AllHeld, Unavailable};
+pub use unavailable::{HeldServers, Unavailable};
 
 use crate::clock::monotonic_ms;
 use crate::line_budget::LineBudget;
@@ -113,8 +113,8 @@
         &self,
         servers: impl Iterator<Item = Server>,
         start_of: impl Fn(&Server) -> ServerStart,
-    ) -> (Vec<Server>, AllHeld) {
-        let mut held = AllHeld::default();
+    ) -> (Vec<Server>, HeldServers) {
+        let mut held = HeldServers::default();
         if self.is_empty() {
             return (servers.collect(), held);
         }
--- a/crates/daemon/src/pushback/unavailable.rs
+++ b/crates/daemon/src/pushback/unavailable.rs
@@ -20,7 +20,7 @@
 
 /// The servers that could take a request, where all of them are on hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AllHeld {
+pub struct HeldServers {
     /// When the first hold ends; `None` if all of the servers are shutting down.
     earliest_end: Option<Millis>,
     /// Ids of some of the servers.
@@ -29,7 +29,7 @@
     is_at_limit: bool,
 }
 
-impl AllHeld {
+impl HeldServers {
     /// Adds a server on hold.
     pub fn add(&mut self, server: &str, hold: Hold) {
         self.earliest_end = self.earliest_end.into_iter().chain(hold.until()).min();
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -3,7 +3,7 @@
 use super::run::Run;
 use super::{ChatJob, Failure};
 use crate::clock::monotonic_ms;
-use crate::pushback::{AllHeld, SendTarget};
+use crate::pushback::{HeldServers, SendTarget};
 use crate::suspects::{Admission, SuspectGate};
 use crate::traffic::Traffic;
 use crate::traffic::slots::HeldSlot;
@@ -88,7 +88,7 @@
             self.avoid.push(slot.grant.replica.clone());
             return Ok(());
         }
-        let mut held = AllHeld::default();
+        let mut held = HeldServers::default();
         held.add(&slot.grant.replica, hold);
         let failure = Failure::unavailable(held.refused());
         Err(if self.dispatched { self.refused_by_gate(failure.code) } else { failure })
