--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -163,7 +163,7 @@
         let soon = unavailable.free_in.filter(|free_in| self.tried.is_empty() && *free_in <= left);
         let Some(free_in) = soon else {
             self.account.held(unavailable.held);
-            return Err(Box::new(self.last_word_with(unavailable.code, unavailable.back_in_ms)));
+            return Err(Box::new(self.last_word_with(unavailable.code, unavailable.retry_after_ms)));
         };
         if self.waited.is_zero() {
             self.gateway.shared.metrics.held_back.with_label_values(&["waited"]).inc();
--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -88,7 +88,7 @@
             self.gateway.loads.refused(&self.received.service.name, model);
         }
         self.account.held(unavailable.held);
-        self.refusal(unavailable.code, unavailable.back_in_ms.unwrap_or(FULL_RETRY_MS))
+        self.refusal(unavailable.code, unavailable.retry_after_ms.unwrap_or(FULL_RETRY_MS))
     }
 
     /// A place at a group, waited for shortly, or a server; else why there is none.
--- a/crates/daemon/src/pushback/unavailable.rs
+++ b/crates/daemon/src/pushback/unavailable.rs
@@ -56,11 +56,11 @@
         };
         let remaining_ms = (ends_in.as_millis() as Millis).max(MIN_RETRY_AFTER_MS);
         let jitter_ms = (remaining_ms / 100 * RETRY_JITTER_PERCENT).min(MAX_RETRY_JITTER_MS);
-        let back_in_ms = remaining_ms.saturating_add(rand::rng().random_range(0..=jitter_ms));
+        let retry_after_ms = remaining_ms.saturating_add(rand::rng().random_range(0..=jitter_ms));
         Unavailable {
             code: if self.is_at_limit { ResultCode::ServersAtLimit } else { ResultCode::ServersResting },
             free_in: Some(ends_in),
-            back_in_ms: Some(back_in_ms),
+            retry_after_ms: Some(retry_after_ms),
             held: self.servers,
         }
     }
@@ -74,13 +74,13 @@
     /// Time until the first hold ends, if the servers are on hold.
     pub free_in: Option<Duration>,
     /// When the caller may retry, in milliseconds, if known.
-    pub back_in_ms: Option<Millis>,
+    pub retry_after_ms: Option<Millis>,
     /// Ids of servers on hold that could take the request.
     pub held: Vec<String>,
 }
 
 impl From<ResultCode> for Unavailable {
     fn from(code: ResultCode) -> Unavailable {
-        Unavailable { code, free_in: None, back_in_ms: None, held: Vec::new() }
+        Unavailable { code, free_in: None, retry_after_ms: None, held: Vec::new() }
     }
 }
--- a/crates/daemon/src/traffic/chat/mod.rs
+++ b/crates/daemon/src/traffic/chat/mod.rs
@@ -97,8 +97,8 @@
 
     /// A request for which there is no server.
     pub fn unavailable(unavailable: Unavailable) -> Self {
-        let Unavailable { code, back_in_ms, .. } = unavailable;
-        Failure { code, message: code.meaning().to_string(), retry_after_ms: back_in_ms }
+        let Unavailable { code, retry_after_ms, .. } = unavailable;
+        Failure { code, message: code.meaning().to_string(), retry_after_ms }
     }
 
     /// The same for a request whose earlier sending may have run: the reason stays, "not run" does not.
