--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -28,7 +28,7 @@
     },
     /// A query on the state of the server itself. It is exempt from the rate limit: it takes no request capacity, and a
     /// server must not count as dead because its limit is used up.
-    Question,
+    Probe,
 }
 
 /// Permission to send one request to one server. It records the pushback signals of the response head.
