--- a/crates/daemon/src/control/group_orders.rs
+++ b/crates/daemon/src/control/group_orders.rs
@@ -104,7 +104,7 @@
 
     /// What came of asking, and how many times its declared times the instance takes, where it tells.
     async fn ask(&self, probe: &InstanceProbe) -> (ProbeResult, Option<f64>) {
-        let asked = SendPermit::ask(&self.shared, self.addressee(probe), SendPurpose::Probe).await;
+        let asked = SendPermit::acquire(&self.shared, self.addressee(probe), SendPurpose::Probe).await;
         let Ok(mut permit) = asked else {
             return (ProbeResult::NotAsked, None);
         };
--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -239,7 +239,7 @@
         };
         let (service, server) = (&self.received.service.name, &picked.row);
         let purpose = SendPurpose::Request { rank: self.received.rank };
-        let permit = SendPermit::ask(&self.gateway.shared, SendTarget::instance(server), purpose).await;
+        let permit = SendPermit::acquire(&self.gateway.shared, SendTarget::instance(server), purpose).await;
         // From here on nothing is waited for until the request is written.
         let metrics = &self.gateway.shared.metrics;
         let is_timely =
--- a/crates/daemon/src/gateway/stream/sending.rs
+++ b/crates/daemon/src/gateway/stream/sending.rs
@@ -43,7 +43,7 @@
         let request = request_for(&self.gateway, &self.received, &instance, resume_at);
         let Some(request) = request else { return Err(SendOutcome::NotSent) };
         let purpose = SendPurpose::Request { rank: self.received.rank };
-        let permit = SendPermit::ask(&self.gateway.shared, source.addressee(), purpose).await;
+        let permit = SendPermit::acquire(&self.gateway.shared, source.addressee(), purpose).await;
         // From here on nothing is waited for until the request is written.
         let is_timely = source.may_be_sent(&self.gateway, &self.received.service.name);
         let is_its_turn = self.gate.may_write() && self.received.left_ms() > 0;
--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// Returns why the server is on hold.
-    pub async fn ask(
+    pub async fn acquire(
         shared: &Arc<Shared>,
         addressee: SendTarget,
         purpose: SendPurpose,
--- a/crates/daemon/src/traffic/chat/stream.rs
+++ b/crates/daemon/src/traffic/chat/stream.rs
@@ -52,7 +52,7 @@
     pub(super) async fn attempt(&mut self, slot: &mut HeldSlot) -> AttemptEnd {
         self.record_running().await;
         let purpose = SendPurpose::Request { rank: slot.grant.priority.into() };
-        let permit = SendPermit::ask(&self.traffic.shared, self.addressee(slot), purpose).await;
+        let permit = SendPermit::acquire(&self.traffic.shared, self.addressee(slot), purpose).await;
         // Looked at last: noting it at another daemon may have taken longer than the grant's evidence holds.
         let may_write = slot.is_fresh() && self.gate.may_write();
         if !may_write || !self.traffic.shared.may_dispatch(&self.pool()) {
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -206,7 +206,7 @@
         sendings.note().await;
         let request = traffic.http.request(method.clone(), format!("http://{}{path}", server.address));
         let sending = request.headers(headers.clone()).body(sent);
-        let permit = SendPermit::ask(&traffic.shared, addressee(&server, &spec), CALL).await;
+        let permit = SendPermit::acquire(&traffic.shared, addressee(&server, &spec), CALL).await;
         let end = match permit {
             Ok(permit) if gate.as_ref().is_none_or(SuspectGate::may_write) => {
                 send(sending, guard, permit, &request_id).await
--- a/crates/daemon/tests/one_entry/limits.rs
+++ b/crates/daemon/tests/one_entry/limits.rs
@@ -138,9 +138,9 @@
     let (entry, _server) = told_by(serves_with(LIMIT)).await?;
     let addressee = || SendTarget::instance(&entry.shared.tables().gateway.instances["board-z"]);
     for _ in 0..5 {
-        assert!(SendPermit::ask(&entry.shared, addressee(), SendPurpose::Probe).await.is_ok());
+        assert!(SendPermit::acquire(&entry.shared, addressee(), SendPurpose::Probe).await.is_ok());
     }
-    let request = SendPermit::ask(&entry.shared, addressee(), SendPurpose::Request { rank: 0 }).await;
+    let request = SendPermit::acquire(&entry.shared, addressee(), SendPurpose::Request { rank: 0 }).await;
     assert!(matches!(request, Err(Hold::AtLimit { .. })));
     Ok(())
 }
--- a/crates/daemon/tests/one_entry/pushback.rs
+++ b/crates/daemon/tests/one_entry/pushback.rs
@@ -236,7 +236,7 @@
     let tables = entry.shared.tables();
     let addressee = SendTarget::instance(&tables.gateway.instances["server"]);
     // Nothing is waited for: the server has named no limit.
-    let asked = SendPermit::ask(&entry.shared, addressee, SendPurpose::Probe).now_or_never();
+    let asked = SendPermit::acquire(&entry.shared, addressee, SendPurpose::Probe).now_or_never();
     let Some(Ok(mut permit)) = asked else { return };
     let retry_after = RetryAfter::After(600_000);
     permit.answered(
