--- a/crates/daemon/src/control/group_orders.rs
+++ b/crates/daemon/src/control/group_orders.rs
@@ -117,7 +117,7 @@
             Ok(response) => match self.result_of(&response, probe) {
                 ProbeResult::Answered => {
                     let names = &self.dialect.headers().signals;
-                    permit.answered(&signals_of(response.status(), response.headers(), names), "");
+                    permit.record_response(&signals_of(response.status(), response.headers(), names), "");
                     // An answer whose body is lost shows a living server all the same.
                     let body = response.bytes().await.unwrap_or_default();
                     (ProbeResult::Answered, self.dialect.report_slowness(&body))
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/answers.rs
@@ -28,7 +28,7 @@
     account.head_received(&signals);
     // Another server answers in place of the one that is meant: its word is not that one's.
     if parts.status != StatusCode::MISDIRECTED_REQUEST {
-        permit.answered(&signals, received.attempt.as_deref().unwrap_or_default());
+        permit.record_response(&signals, received.attempt.as_deref().unwrap_or_default());
     }
     if !belongs(&parts.headers, names, received) {
         return Err(SendOutcome::Unknown);
--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -89,7 +89,7 @@
 
     /// Records the pushback signals of the response to `request`. They hold even if the response itself is unusable:
     /// if its body is truncated, belongs to another request, or is not forwarded.
-    pub fn answered(&mut self, signals: &AnswerSignals, request: &str) {
+    pub fn record_response(&mut self, signals: &AnswerSignals, request: &str) {
         self.accepted = signals.pushback_ms().is_none();
         self.count_signals(signals);
         if let Some(retry_after_ms) = signals.pushback_ms() {
--- a/crates/daemon/src/traffic/engine_stream.rs
+++ b/crates/daemon/src/traffic/engine_stream.rs
@@ -58,7 +58,7 @@
             Ok(Err(_)) => return Err(OpenFailure::Unclear),
             Ok(Ok(response)) => response,
         };
-        permit.answered(&signals_of(response.status(), response.headers(), &OWN_SIGNALS), &request.id);
+        permit.record_response(&signals_of(response.status(), response.headers(), &OWN_SIGNALS), &request.id);
         match response.status() {
             _ if response.headers().contains_key(HEADER_NOT_RUN) => Err(OpenFailure::Rejected),
             StatusCode::OK => Ok(EngineStream { response, buffer: BytesMut::new() }),
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -303,7 +303,10 @@
     guard.result = Some(CallResult::Failed);
     match tokio::time::timeout(HEAD_TIMEOUT, request.send()).await {
         Ok(Ok(response)) => {
-            permit.answered(&signals_of(response.status(), response.headers(), &OWN_SIGNALS), request_id);
+            permit.record_response(
+                &signals_of(response.status(), response.headers(), &OWN_SIGNALS),
+                request_id,
+            );
             if response.headers().contains_key(HEADER_NOT_RUN) {
                 guard.result = Some(CallResult::Answered);
                 return Err(AttemptEnd::Rejected(Box::new((response, guard))));
--- a/crates/daemon/tests/one_entry/pushback.rs
+++ b/crates/daemon/tests/one_entry/pushback.rs
@@ -239,7 +239,7 @@
     let asked = SendPermit::acquire(&entry.shared, addressee, SendPurpose::Probe).now_or_never();
     let Some(Ok(mut permit)) = asked else { return };
     let retry_after = RetryAfter::After(600_000);
-    permit.answered(
+    permit.record_response(
         &AnswerSignals { status: 503, retry_after, leaving: LeavingMark::Absent, limit: NamedLimit::Absent },
         "another",
     );
