--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -15,7 +15,7 @@
 use crate::probe::{
     EngineClient, Reporter, run_machine_prober, run_platform_reader, run_replica_watcher, run_reporter,
 };
-use crate::pushback::run_sharing;
+use crate::pushback::run_limit_sync;
 use crate::settings::{GatewaySettings, Settings, run_settings_reader};
 use crate::shared::Shared;
 use crate::suspects::run_reporting;
@@ -195,7 +195,7 @@
     tokio::spawn(run_replica_watcher(shared.clone(), traffic.clone(), engines, reporter.clone()));
     tokio::spawn(run_reporter(shared.clone(), reporter));
     tokio::spawn(run_reporting(shared.clone()));
-    tokio::spawn(run_sharing(shared.clone()));
+    tokio::spawn(run_limit_sync(shared.clone()));
     tokio::spawn(run_platform_reader(shared.clone(), http));
     let gateway = Gateway::start(shared.clone(), dialect, listeners.gateway).map_err(setup)?;
     let (stop, mut stopped) = watch::channel(false);
--- a/crates/daemon/src/pushback/limit_sync.rs
+++ b/crates/daemon/src/pushback/limit_sync.rs
@@ -25,7 +25,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Distributes changes of rate limits. Never returns.
-pub async fn run_sharing(shared: Arc<Shared>) {
+pub async fn run_limit_sync(shared: Arc<Shared>) {
     let mut last_full_sync_at = monotonic_ms();
     loop {
         let has_changes =
--- a/crates/daemon/src/pushback/mod.rs
+++ b/crates/daemon/src/pushback/mod.rs
@@ -14,7 +14,7 @@
 mod unavailable;
 
 pub use headers::{SignalHeaders, signals_of};
-pub use limit_sync::run_sharing;
+pub use limit_sync::run_limit_sync;
 pub use permit::{SendPermit, SendPurpose};
 pub use unavailable::{HeldServers, Unavailable};
 
