--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -108,7 +108,7 @@
             prompt_tokens: self.received.prompt_tokens,
             target_ms,
         };
-        if let Some(zones) = self.gate.elsewhere(is_suspect, &self.received.zones) {
+        if let Some(zones) = self.gate.zones_without_crashes(is_suspect, &self.received.zones) {
             let elsewhere = PlaceQuery { zones: &zones, ..query };
             if let Ok(place) = wait_for_place(&self.gateway, elsewhere, Instant::now()).await {
                 return Ok(Source::Group(place));
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/targets.rs
@@ -100,7 +100,7 @@
     passed_over: &[String],
 ) -> Result<Picked, Unavailable> {
     let (service, zones) = (&received.service, &received.zones);
-    let elsewhere = gate.elsewhere(is_suspect, zones);
+    let elsewhere = gate.zones_without_crashes(is_suspect, zones);
     let picked = elsewhere.and_then(|zones| pick(gateway, service, &zones, passed_over).ok());
     let picked = picked.map_or_else(|| pick(gateway, service, zones, passed_over), Ok);
     picked.map_err(|unavailable| match unavailable {
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -110,7 +110,7 @@
     /// Returns the allowed zones in which the request has crashed no server, if it is a suspect and there are any. It is
     /// tried there first: otherwise the failure of a whole zone would count as evidence against every request that is
     /// retried within that zone.
-    pub fn elsewhere(&self, is_suspect: bool, allowed: &AllowedZones) -> Option<AllowedZones> {
+    pub fn zones_without_crashes(&self, is_suspect: bool, allowed: &AllowedZones) -> Option<AllowedZones> {
         if !is_suspect {
             return None;
         }
