--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -142,7 +142,7 @@
             }
             Err(unavailable) => return self.without_server(unavailable).await,
         };
-        match self.gate.enter(is_suspect, &picked.row.id, &picked.row.zone).await {
+        match self.gate.admit(is_suspect, &picked.row.id, &picked.row.zone).await {
             Admission::Enter => Ok(Some(picked)),
             Admission::Elsewhere => {
                 self.taken.push(picked.row.id.clone());
--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -54,7 +54,7 @@
             }
             Err(unavailable) => return Err(Box::new(self.refuse_for_want_of_a_source(unavailable))),
         };
-        match self.gate.enter(is_suspect, source.instance(), source.zone()).await {
+        match self.gate.admit(is_suspect, source.instance(), source.zone()).await {
             Admission::Enter => Ok(Some(source)),
             Admission::Elsewhere => {
                 self.taken.add(&source);
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -128,7 +128,7 @@
     }
 
     /// Decides whether the request may be sent to the server that was selected for it.
-    pub async fn enter(&mut self, is_suspect: bool, instance: &str, zone: &str) -> Admission {
+    pub async fn admit(&mut self, is_suspect: bool, instance: &str, zone: &str) -> Admission {
         self.server = Some(SelectedServer { instance: instance.to_string(), zone: zone.to_string() });
         if !is_suspect {
             return Admission::Enter;
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -57,7 +57,7 @@
                 continue;
             }
             let place = Place::of(&slot, &self.traffic.shared.tables());
-            match self.gate.enter(is_suspect, &place.head, &place.zone).await {
+            match self.gate.admit(is_suspect, &place.head, &place.zone).await {
                 Admission::Enter => return Ok(slot),
                 Admission::Elsewhere => {
                     taken += 1;
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -263,7 +263,7 @@
     loop {
         let is_suspect = gate.is_suspect().await.map_err(refused)?;
         let (server, guard) = pick()?;
-        let mut admission = gate.enter(is_suspect, &server.name, &server.zone).await;
+        let mut admission = gate.admit(is_suspect, &server.name, &server.zone).await;
         if admission == Admission::Enter {
             return Ok((server, guard));
         }
