--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -143,7 +143,7 @@
             Err(unavailable) => return self.without_server(unavailable).await,
         };
         match self.gate.admit(is_suspect, &picked.row.id, &picked.row.zone).await {
-            Admission::Enter => Ok(Some(picked)),
+            Admission::Admitted => Ok(Some(picked)),
             Admission::Elsewhere => {
                 self.taken.push(picked.row.id.clone());
                 Ok(None)
@@ -180,7 +180,7 @@
         self.taken.clear();
         match admission {
             Admission::Refused(code) => Err(Box::new(self.refused_by_gate(code))),
-            Admission::Enter | Admission::Elsewhere | Admission::Wait => Ok(None),
+            Admission::Admitted | Admission::Elsewhere | Admission::Wait => Ok(None),
         }
     }
 
--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -55,7 +55,7 @@
             Err(unavailable) => return Err(Box::new(self.refuse_for_want_of_a_source(unavailable))),
         };
         match self.gate.admit(is_suspect, source.instance(), source.zone()).await {
-            Admission::Enter => Ok(Some(source)),
+            Admission::Admitted => Ok(Some(source)),
             Admission::Elsewhere => {
                 self.taken.add(&source);
                 Ok(None)
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request may be sent.
-    Enter,
+    Admitted,
     /// Another server has to be selected.
     Elsewhere,
     /// Another trial of the request is in progress; a server has to be selected again.
@@ -131,13 +131,13 @@
     pub async fn admit(&mut self, is_suspect: bool, instance: &str, zone: &str) -> Admission {
         self.server = Some(SelectedServer { instance: instance.to_string(), zone: zone.to_string() });
         if !is_suspect {
-            return Admission::Enter;
+            return Admission::Admitted;
         }
         match Trial::request(&self.shared, self.fingerprint(), instance, self.may_share).await {
             TrialDecision::Granted(trial) => {
                 self.trial = Some(trial);
                 self.log_step(SuspectStep::Tried);
-                Admission::Enter
+                Admission::Admitted
             }
             TrialDecision::ServerBusy => Admission::Elsewhere,
             TrialDecision::Quarantined => Admission::Refused(self.refuse_quarantined()),
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -264,7 +264,7 @@
         let is_suspect = gate.is_suspect().await.map_err(refused)?;
         let (server, guard) = pick()?;
         let mut admission = gate.admit(is_suspect, &server.name, &server.zone).await;
-        if admission == Admission::Enter {
+        if admission == Admission::Admitted {
             return Ok((server, guard));
         }
         drop(guard);
