--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -144,7 +144,7 @@
         };
         match self.gate.admit(is_suspect, &picked.row.id, &picked.row.zone).await {
             Admission::Admitted => Ok(Some(picked)),
-            Admission::Elsewhere => {
+            Admission::OtherServer => {
                 self.taken.push(picked.row.id.clone());
                 Ok(None)
             }
@@ -180,7 +180,7 @@
         self.taken.clear();
         match admission {
             Admission::Refused(code) => Err(Box::new(self.refused_by_gate(code))),
-            Admission::Admitted | Admission::Elsewhere | Admission::Wait => Ok(None),
+            Admission::Admitted | Admission::OtherServer | Admission::Wait => Ok(None),
         }
     }
 
--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -56,7 +56,7 @@
         };
         match self.gate.admit(is_suspect, source.instance(), source.zone()).await {
             Admission::Admitted => Ok(Some(source)),
-            Admission::Elsewhere => {
+            Admission::OtherServer => {
                 self.taken.add(&source);
                 Ok(None)
             }
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -33,7 +33,7 @@
     /// The request may be sent.
     Admitted,
     /// Another server has to be selected.
-    Elsewhere,
+    OtherServer,
     /// Another trial of the request is in progress; a server has to be selected again.
     Wait,
     /// The request may not be sent to any server, for this reason.
@@ -139,7 +139,7 @@
                 self.log_step(SuspectStep::Tried);
                 Admission::Admitted
             }
-            TrialDecision::ServerBusy => Admission::Elsewhere,
+            TrialDecision::ServerBusy => Admission::OtherServer,
             TrialDecision::Quarantined => Admission::Refused(self.refuse_quarantined()),
             TrialDecision::InProgress => self.wait().await,
         }
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -59,7 +59,7 @@
             let place = Place::of(&slot, &self.traffic.shared.tables());
             match self.gate.admit(is_suspect, &place.head, &place.zone).await {
                 Admission::Admitted => return Ok(slot),
-                Admission::Elsewhere => {
+                Admission::OtherServer => {
                     taken += 1;
                     self.avoid.push(slot.grant.replica.clone());
                 }
@@ -99,7 +99,7 @@
         self.avoid.clear();
         match self.gate.all_taken().await {
             Admission::Refused(code) => Err(self.refused_by_gate(code)),
-            Admission::Admitted | Admission::Elsewhere | Admission::Wait => Ok(()),
+            Admission::Admitted | Admission::OtherServer | Admission::Wait => Ok(()),
         }
     }
 
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -268,7 +268,7 @@
             return Ok((server, guard));
         }
         drop(guard);
-        if admission == Admission::Elsewhere {
+        if admission == Admission::OtherServer {
             admission = gate.all_taken().await;
         }
         if let Admission::Refused(code) = admission {
