--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -137,7 +137,7 @@
         let picked = match pick_for(self.gateway, self.received, &self.gate, is_suspect, &passed_over) {
             Ok(picked) => picked,
             Err(_) if !self.taken.is_empty() => {
-                let admission = self.gate.all_taken().await;
+                let admission = self.gate.wait_for_free_server().await;
                 return self.again(admission);
             }
             Err(unavailable) => return self.without_server(unavailable).await,
--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -49,7 +49,7 @@
         let source = match self.source(is_suspect).await {
             Ok(source) => source,
             Err(_) if !self.taken.is_empty() => {
-                let admission = self.gate.all_taken().await;
+                let admission = self.gate.wait_for_free_server().await;
                 return self.again(admission);
             }
             Err(unavailable) => return Err(Box::new(self.refuse_for_want_of_a_source(unavailable))),
--- a/crates/daemon/src/suspects/gate.rs
+++ b/crates/daemon/src/suspects/gate.rs
@@ -146,7 +146,7 @@
     }
 
     /// Handles the case that all eligible servers run other suspects: waits, and allows sharing one after some time.
-    pub async fn all_taken(&mut self) -> Admission {
+    pub async fn wait_for_free_server(&mut self) -> Admission {
         self.may_share = self.waiting_since.is_some_and(|since| since.elapsed() >= SHARE_AFTER);
         self.wait().await
     }
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -97,7 +97,7 @@
     /// Waits until replicas that were taken by other suspects may be looked at again.
     async fn all_taken(&mut self) -> Result<(), Failure> {
         self.avoid.clear();
-        match self.gate.all_taken().await {
+        match self.gate.wait_for_free_server().await {
             Admission::Refused(code) => Err(self.refused_by_gate(code)),
             Admission::Admitted | Admission::OtherServer | Admission::Wait => Ok(()),
         }
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -269,7 +269,7 @@
         }
         drop(guard);
         if admission == Admission::OtherServer {
-            admission = gate.all_taken().await;
+            admission = gate.wait_for_free_server().await;
         }
         if let Admission::Refused(code) = admission {
             return Err(refused(code));
