--- a/crates/daemon/src/pushback/events.rs
+++ b/crates/daemon/src/pushback/events.rs
@@ -49,13 +49,13 @@
     }
 
     pub(super) fn event_context(&self, request: &str) -> String {
-        let group = self.addressee().group.map_or(String::new(), |epoch| format!("; heads g{epoch}"));
+        let group = self.target().group.map_or(String::new(), |epoch| format!("; heads g{epoch}"));
         let request = if request.is_empty() { String::new() } else { format!("; request {request}") };
         format!("{group}{request}")
     }
 
     fn record_event(&self, reason: &str, message: &str, code: ResultCode) {
-        self.shared().pushback.record_event(self.shared(), &self.addressee().start.id, reason, message, code);
+        self.shared().pushback.record_event(self.shared(), &self.target().start.id, reason, message, code);
     }
 }
 
--- a/crates/daemon/src/pushback/mod.rs
+++ b/crates/daemon/src/pushback/mod.rs
@@ -44,7 +44,7 @@
     line_budget: Mutex<LineBudget>,
 }
 
-/// A server as the destination of a request.
+/// A server that a request or probe is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendTarget {
     /// Server id and start time, which identify one run of the server.
@@ -58,23 +58,23 @@
 }
 
 impl SendTarget {
-    /// Returns the destination for a server that registered itself.
+    /// Returns the target for a server that registered itself.
     pub fn instance(row: &InstanceRow) -> SendTarget {
         SendTarget { start: start_of(row), group: None, places: row.slots, zone: Some(row.zone.clone()) }
     }
 
-    /// Returns the destination for the head of a group that processes `places` requests concurrently.
+    /// Returns the target for the head of a group that processes `places` requests concurrently.
     pub fn head(row: &GroupRow, places: u32) -> SendTarget {
         SendTarget { start: head_of(row), group: Some(row.epoch), places, zone: Some(row.zone.clone()) }
     }
 
-    /// Returns the destination for a server of which only the name is known.
+    /// Returns the target for a server of which only the name is known.
     pub fn named(name: &str, places: u32) -> SendTarget {
         let start = ServerStart { id: name.to_string(), started_ms: None };
         SendTarget { start, group: None, places, zone: None }
     }
 
-    /// Returns the destination for a server of which only the address is known.
+    /// Returns the target for a server of which only the address is known.
     pub fn at(address: SocketAddr, places: u32) -> SendTarget {
         SendTarget::named(&address.to_string(), places)
     }
--- a/crates/daemon/src/pushback/permit.rs
+++ b/crates/daemon/src/pushback/permit.rs
@@ -34,13 +34,13 @@
 /// Permission to send one request to one server. It records the pushback signals of the response head.
 pub struct SendPermit {
     shared: Arc<Shared>,
-    addressee: SendTarget,
+    target: SendTarget,
     kind: SendKind,
     /// When the permit was acquired.
     acquired_at: Millis,
     /// Whether a response without a limit header means that the server has no limit.
     may_end_limit: bool,
-    /// The server responded and requested no further back-off.
+    /// The server responded and requested no further back-off, which ends the back-off if this send is a trial.
     accepted: bool,
 }
 
@@ -52,27 +52,25 @@
     /// Returns why the server is on hold.
     pub async fn acquire(
         shared: &Arc<Shared>,
-        addressee: SendTarget,
+        target: SendTarget,
         purpose: SendPurpose,
     ) -> Result<SendPermit, Hold> {
-        if let (SendPurpose::Request { rank }, Some(rate)) =
-            (purpose, shared.pushback.limit(&addressee.start))
-        {
+        if let (SendPurpose::Request { rank }, Some(rate)) = (purpose, shared.pushback.limit(&target.start)) {
             // A grant for a server on hold would be wasted.
-            let is_held = lock(&shared.pushback.table).hold(monotonic_ms(), &addressee.start).is_some();
+            let is_held = lock(&shared.pushback.table).hold(monotonic_ms(), &target.start).is_some();
             if !is_held {
-                acquire_grant(shared, &addressee, rate, rank).await?;
+                acquire_grant(shared, &target, rate, rank).await?;
             }
         }
         let now = monotonic_ms();
-        let send_kind = lock(&shared.pushback.table).begin_send(now, &addressee.start);
+        let send_kind = lock(&shared.pushback.table).begin_send(now, &target.start);
         if send_kind.is_err() {
             shared.metrics.held_back.with_label_values(&["stopped"]).inc();
         }
         let may_end_limit = matches!(purpose, SendPurpose::Request { .. });
         Ok(SendPermit {
             shared: shared.clone(),
-            addressee,
+            target,
             kind: send_kind?,
             acquired_at: now,
             may_end_limit,
@@ -81,10 +79,10 @@
     }
 
     /// Returns a permit to continue reading a request that the server already runs: this is no new request.
-    pub fn of_running(shared: &Arc<Shared>, addressee: SendTarget) -> SendPermit {
+    pub fn of_running(shared: &Arc<Shared>, target: SendTarget) -> SendPermit {
         let (kind, acquired_at) = (SendKind::Usual, monotonic_ms());
         let shared = shared.clone();
-        SendPermit { shared, addressee, kind, acquired_at, may_end_limit: false, accepted: false }
+        SendPermit { shared, target, kind, acquired_at, may_end_limit: false, accepted: false }
     }
 
     /// Records the pushback signals of the response to `request`. They hold even if the response itself is unusable:
@@ -107,20 +105,20 @@
         let heard = Heard { named: signals.limit, sent_at: self.acquired_at, may_end_limit };
         let pushback = &self.shared.pushback;
         let mut limits = lock(&pushback.limits);
-        let change = limits.heard(monotonic_ms(), &self.addressee.start, heard);
+        let change = limits.heard(monotonic_ms(), &self.target.start, heard);
         let Some(change) = change else { return };
         update_limit_metric(&self.shared.metrics, &limits);
         drop(limits);
         pushback.limit_changed.notify_one();
         let context = format!("told with {}{}", signals.status, self.event_context(request));
-        pushback.record_limit_change(&self.shared, &self.addressee.start, change, &context);
+        pushback.record_limit_change(&self.shared, &self.target.start, change, &context);
     }
 
     fn update_backoff(&self, retry_after_ms: Millis, status: u16, request: &str) {
         let (shared, now) = (&self.shared, monotonic_ms());
         let jitter_ms = self.jitter_ms(retry_after_ms);
         let mut table = lock(&shared.pushback.table);
-        let backoff = table.note_rest(now, &self.addressee.start, retry_after_ms, jitter_ms);
+        let backoff = table.note_rest(now, &self.target.start, retry_after_ms, jitter_ms);
         update_hold_metrics(&shared.metrics, &table);
         drop(table);
         if let Some(backoff) = backoff {
@@ -131,13 +129,13 @@
     /// Returns a random extension of a back-off, so that daemons do not all resume at the same time.
     fn jitter_ms(&self, retry_after_ms: Millis) -> Millis {
         let entries = self.shared.dispatchers.entries(&self.shared.tables());
-        let max_jitter_ms = return_spread_ms(retry_after_ms, entries, self.addressee.places);
+        let max_jitter_ms = return_spread_ms(retry_after_ms, entries, self.target.places);
         rand::rng().random_range(0..=max_jitter_ms)
     }
 
     fn update_leaving(&self, request: &str) {
         let mut table = lock(&self.shared.pushback.table);
-        let is_new = table.note_leaving(&self.addressee.start);
+        let is_new = table.note_leaving(&self.target.start);
         update_hold_metrics(&self.shared.metrics, &table);
         drop(table);
         if is_new {
@@ -149,23 +147,23 @@
         &self.shared
     }
 
-    pub(super) fn addressee(&self) -> &SendTarget {
-        &self.addressee
+    pub(super) fn target(&self) -> &SendTarget {
+        &self.target
     }
 }
 
 /// Acquires a grant for a server with a rate limit; without one, puts the server on hold until the next grant.
 async fn acquire_grant(
     shared: &Arc<Shared>,
-    addressee: &SendTarget,
+    target: &SendTarget,
     rate: RequestRate,
     rank: u32,
 ) -> Result<(), Hold> {
-    let GrantDecision::Wait(wait_ms) = request_grant(shared, addressee, rate, rank).await else {
+    let GrantDecision::Wait(wait_ms) = request_grant(shared, target, rate, rank).await else {
         return Ok(());
     };
     let until = monotonic_ms() + wait_ms;
-    lock(&shared.pushback.limits).hold(&addressee.start, until);
+    lock(&shared.pushback.limits).hold(&target.start, until);
     shared.metrics.held_back.with_label_values(&["atLimit"]).inc();
     Err(Hold::AtLimit { until })
 }
@@ -176,7 +174,7 @@
             return;
         }
         let mut table = lock(&self.shared.pushback.table);
-        let is_backoff_over = table.trial_ended(monotonic_ms(), &self.addressee.start, self.accepted);
+        let is_backoff_over = table.trial_ended(monotonic_ms(), &self.target.start, self.accepted);
         update_hold_metrics(&self.shared.metrics, &table);
         drop(table);
         if is_backoff_over {
--- a/crates/daemon/src/pushback/rate_limit.rs
+++ b/crates/daemon/src/pushback/rate_limit.rs
@@ -37,12 +37,12 @@
 /// is not asked again for a while, and the next one in rendezvous order replaces it.
 pub(super) async fn request_grant(
     shared: &Arc<Shared>,
-    addressee: &SendTarget,
+    target: &SendTarget,
     rate: RequestRate,
     rank: u32,
 ) -> GrantDecision {
     let requested_at = monotonic_ms();
-    let decision = query_limiters(shared, addressee, rate, rank).await;
+    let decision = query_limiters(shared, target, rate, rank).await;
     let has_expired = monotonic_ms() >= requested_at + GRANT_VALID_MS;
     match decision {
         GrantDecision::Granted if has_expired => GrantDecision::Wait(EXPIRED_GRANT_HOLD_MS),
@@ -52,12 +52,12 @@
 
 async fn query_limiters(
     shared: &Arc<Shared>,
-    addressee: &SendTarget,
+    target: &SendTarget,
     rate: RequestRate,
     rank: u32,
 ) -> GrantDecision {
-    let (server, tables) = (&addressee.start, shared.tables());
-    let limiters = shared.dispatchers.turn_givers(&tables, &server.id, addressee.zone.as_deref());
+    let (server, tables) = (&target.start, shared.tables());
+    let limiters = shared.dispatchers.turn_givers(&tables, &server.id, target.zone.as_deref());
     for (position, limiter) in
         limiters.iter().enumerate().filter(|(_, limiter)| shared.dispatchers.may_ask(**limiter))
     {
