--- a/crates/daemon/src/control/group_orders.rs
+++ b/crates/daemon/src/control/group_orders.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::log_line::{LineBody, OrderLine};
 use crate::logging;
-use crate::pushback::{Addressee, SendPermit, SendPurpose, signals_of};
+use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::shared::Shared;
 use dockwood_api::gateway::{GroupOrder, OrderAnswer};
 use dockwood_control::{InstanceProbe, ProbeQuestion, ProbeResult};
@@ -86,10 +86,10 @@
 
     /// The instance that is asked. Questions are no requests, but a server that wants nothing is spared them, too; orders go
     /// to it all the same, as groups have to be closed and left in time.
-    fn addressee(&self, probe: &InstanceProbe) -> Addressee {
+    fn addressee(&self, probe: &InstanceProbe) -> SendTarget {
         let tables = self.shared.tables();
         let row = tables.gateway.instances.get(&probe.instance);
-        row.map_or_else(|| Addressee::named(&probe.instance, 1), |row| Addressee::instance(row))
+        row.map_or_else(|| SendTarget::named(&probe.instance, 1), |row| SendTarget::instance(row))
     }
 
     /// What an answer shows of who gave it.
@@ -104,7 +104,7 @@
 
     /// What came of asking, and how many times its declared times the instance takes, where it tells.
     async fn ask(&self, probe: &InstanceProbe) -> (ProbeResult, Option<f64>) {
-        let asked = SendPermit::ask(&self.shared, self.addressee(probe), SendPurpose::Question).await;
+        let asked = SendPermit::acquire(&self.shared, self.addressee(probe), SendPurpose::Probe).await;
         let Ok(mut permit) = asked else {
             return (ProbeResult::NotAsked, None);
         };
@@ -117,7 +117,7 @@
             Ok(response) => match self.result_of(&response, probe) {
                 ProbeResult::Answered => {
                     let names = &self.dialect.headers().signals;
-                    permit.answered(&signals_of(response.status(), response.headers(), names), "");
+                    permit.record_response(&signals_of(response.status(), response.headers(), names), "");
                     // An answer whose body is lost shows a living server all the same.
                     let body = response.bytes().await.unwrap_or_default();
                     (ProbeResult::Answered, self.dialect.report_slowness(&body))
--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -10,7 +10,7 @@
 use super::refusal::{RETRY_SOON_MS, refuse};
 use super::targets::{Picked, pick_for};
 use super::upstream::Upstream;
-use crate::pushback::{Addressee, SendPermit, SendPurpose, Unavailable};
+use crate::pushback::{SendPermit, SendPurpose, SendTarget, Unavailable};
 use crate::suspects::{Admission, SuspectGate};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
@@ -137,14 +137,14 @@
         let picked = match pick_for(self.gateway, self.received, &self.gate, is_suspect, &passed_over) {
             Ok(picked) => picked,
             Err(_) if !self.taken.is_empty() => {
-                let admission = self.gate.all_taken().await;
+                let admission = self.gate.wait_for_free_server().await;
                 return self.again(admission);
             }
             Err(unavailable) => return self.without_server(unavailable).await,
         };
-        match self.gate.enter(is_suspect, &picked.row.id, &picked.row.zone).await {
-            Admission::Enter => Ok(Some(picked)),
-            Admission::Elsewhere => {
+        match self.gate.admit(is_suspect, &picked.row.id, &picked.row.zone).await {
+            Admission::Admitted => Ok(Some(picked)),
+            Admission::OtherServer => {
                 self.taken.push(picked.row.id.clone());
                 Ok(None)
             }
@@ -163,7 +163,7 @@
         let soon = unavailable.free_in.filter(|free_in| self.tried.is_empty() && *free_in <= left);
         let Some(free_in) = soon else {
             self.account.held(unavailable.held);
-            return Err(Box::new(self.last_word_with(unavailable.code, unavailable.back_in_ms)));
+            return Err(Box::new(self.last_word_with(unavailable.code, unavailable.retry_after_ms)));
         };
         if self.waited.is_zero() {
             self.gateway.shared.metrics.held_back.with_label_values(&["waited"]).inc();
@@ -180,7 +180,7 @@
         self.taken.clear();
         match admission {
             Admission::Refused(code) => Err(Box::new(self.refused_by_gate(code))),
-            Admission::Enter | Admission::Elsewhere | Admission::Wait => Ok(None),
+            Admission::Admitted | Admission::OtherServer | Admission::Wait => Ok(None),
         }
     }
 
@@ -239,7 +239,7 @@
         };
         let (service, server) = (&self.received.service.name, &picked.row);
         let purpose = SendPurpose::Request { rank: self.received.rank };
-        let permit = SendPermit::ask(&self.gateway.shared, Addressee::instance(server), purpose).await;
+        let permit = SendPermit::acquire(&self.gateway.shared, SendTarget::instance(server), purpose).await;
         // From here on nothing is waited for until the request is written.
         let metrics = &self.gateway.shared.metrics;
         let is_timely =
--- a/crates/daemon/src/gateway/stream/choosing.rs
+++ b/crates/daemon/src/gateway/stream/choosing.rs
@@ -49,14 +49,14 @@
         let source = match self.source(is_suspect).await {
             Ok(source) => source,
             Err(_) if !self.taken.is_empty() => {
-                let admission = self.gate.all_taken().await;
+                let admission = self.gate.wait_for_free_server().await;
                 return self.again(admission);
             }
             Err(unavailable) => return Err(Box::new(self.refuse_for_want_of_a_source(unavailable))),
         };
-        match self.gate.enter(is_suspect, source.instance(), source.zone()).await {
-            Admission::Enter => Ok(Some(source)),
-            Admission::Elsewhere => {
+        match self.gate.admit(is_suspect, source.instance(), source.zone()).await {
+            Admission::Admitted => Ok(Some(source)),
+            Admission::OtherServer => {
                 self.taken.add(&source);
                 Ok(None)
             }
@@ -88,7 +88,7 @@
             self.gateway.loads.refused(&self.received.service.name, model);
         }
         self.account.held(unavailable.held);
-        self.refusal(unavailable.code, unavailable.back_in_ms.unwrap_or(FULL_RETRY_MS))
+        self.refusal(unavailable.code, unavailable.retry_after_ms.unwrap_or(FULL_RETRY_MS))
     }
 
     /// A place at a group, waited for shortly, or a server; else why there is none.
@@ -108,7 +108,7 @@
             prompt_tokens: self.received.prompt_tokens,
             target_ms,
         };
-        if let Some(zones) = self.gate.elsewhere(is_suspect, &self.received.zones) {
+        if let Some(zones) = self.gate.zones_without_crashes(is_suspect, &self.received.zones) {
             let elsewhere = PlaceQuery { zones: &zones, ..query };
             if let Ok(place) = wait_for_place(&self.gateway, elsewhere, Instant::now()).await {
                 return Ok(Source::Group(place));
--- a/crates/daemon/src/traffic/chat/admission.rs
+++ b/crates/daemon/src/traffic/chat/admission.rs
@@ -3,7 +3,7 @@
 use super::run::Run;
 use super::{ChatJob, Failure};
 use crate::clock::monotonic_ms;
-use crate::pushback::{Addressee, AllHeld};
+use crate::pushback::{HeldServers, SendTarget};
 use crate::suspects::{Admission, SuspectGate};
 use crate::traffic::Traffic;
 use crate::traffic::slots::HeldSlot;
@@ -57,9 +57,9 @@
                 continue;
             }
             let place = Place::of(&slot, &self.traffic.shared.tables());
-            match self.gate.enter(is_suspect, &place.head, &place.zone).await {
-                Admission::Enter => return Ok(slot),
-                Admission::Elsewhere => {
+            match self.gate.admit(is_suspect, &place.head, &place.zone).await {
+                Admission::Admitted => return Ok(slot),
+                Admission::OtherServer => {
                     taken += 1;
                     self.avoid.push(slot.grant.replica.clone());
                 }
@@ -75,10 +75,10 @@
     }
 
     /// The head of a slot's replica, as what is sent to it is answered for.
-    pub(super) fn addressee(&self, slot: &HeldSlot) -> Addressee {
+    pub(super) fn addressee(&self, slot: &HeldSlot) -> SendTarget {
         let tables = self.traffic.shared.tables();
         let places = tables.deployment(&self.pool()).map_or(1, |spec| spec.slots_per_replica);
-        Addressee::at(slot.grant.head, places)
+        SendTarget::at(slot.grant.head, places)
     }
 
     /// Avoids a replica whose head rests or leaves. Coordinators grant slots of avoided replicas only where no other one
@@ -88,7 +88,7 @@
             self.avoid.push(slot.grant.replica.clone());
             return Ok(());
         }
-        let mut held = AllHeld::default();
+        let mut held = HeldServers::default();
         held.add(&slot.grant.replica, hold);
         let failure = Failure::unavailable(held.refused());
         Err(if self.dispatched { self.refused_by_gate(failure.code) } else { failure })
@@ -97,9 +97,9 @@
     /// Waits until replicas that were taken by other suspects may be looked at again.
     async fn all_taken(&mut self) -> Result<(), Failure> {
         self.avoid.clear();
-        match self.gate.all_taken().await {
+        match self.gate.wait_for_free_server().await {
             Admission::Refused(code) => Err(self.refused_by_gate(code)),
-            Admission::Enter | Admission::Elsewhere | Admission::Wait => Ok(()),
+            Admission::Admitted | Admission::OtherServer | Admission::Wait => Ok(()),
         }
     }
 
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -5,7 +5,7 @@
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::own_dialect::OWN_SIGNALS;
-use crate::pushback::{Addressee, SendPermit, SendPurpose, signals_of};
+use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::suspects::{Admission, SuspectGate, has_ended};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
@@ -206,7 +206,7 @@
         sendings.note().await;
         let request = traffic.http.request(method.clone(), format!("http://{}{path}", server.address));
         let sending = request.headers(headers.clone()).body(sent);
-        let permit = SendPermit::ask(&traffic.shared, addressee(&server, &spec), CALL).await;
+        let permit = SendPermit::acquire(&traffic.shared, addressee(&server, &spec), CALL).await;
         let end = match permit {
             Ok(permit) if gate.as_ref().is_none_or(SuspectGate::may_write) => {
                 send(sending, guard, permit, &request_id).await
@@ -241,8 +241,8 @@
 const CALL: SendPurpose = SendPurpose::Request { rank: 0 };
 
 /// A server as what is sent to it is answered for.
-fn addressee(server: &ServiceServer, spec: &ServiceSpec) -> Addressee {
-    Addressee::named(&server.name, spec.slots_per_server)
+fn addressee(server: &ServiceServer, spec: &ServiceSpec) -> SendTarget {
+    SendTarget::named(&server.name, spec.slots_per_server)
 }
 
 /// A server to which the call may be sent, or why there is none. Its guard is held while the gate is
@@ -263,13 +263,13 @@
     loop {
         let is_suspect = gate.is_suspect().await.map_err(refused)?;
         let (server, guard) = pick()?;
-        let mut admission = gate.enter(is_suspect, &server.name, &server.zone).await;
-        if admission == Admission::Enter {
+        let mut admission = gate.admit(is_suspect, &server.name, &server.zone).await;
+        if admission == Admission::Admitted {
             return Ok((server, guard));
         }
         drop(guard);
-        if admission == Admission::Elsewhere {
-            admission = gate.all_taken().await;
+        if admission == Admission::OtherServer {
+            admission = gate.wait_for_free_server().await;
         }
         if let Admission::Refused(code) = admission {
             return Err(refused(code));
@@ -303,7 +303,10 @@
     guard.result = Some(CallResult::Failed);
     match tokio::time::timeout(HEAD_TIMEOUT, request.send()).await {
         Ok(Ok(response)) => {
-            permit.answered(&signals_of(response.status(), response.headers(), &OWN_SIGNALS), request_id);
+            permit.record_response(
+                &signals_of(response.status(), response.headers(), &OWN_SIGNALS),
+                request_id,
+            );
             if response.headers().contains_key(HEADER_NOT_RUN) {
                 guard.result = Some(CallResult::Answered);
                 return Err(AttemptEnd::Rejected(Box::new((response, guard))));
