--- a/crates/control/src/address_takeovers.rs
+++ b/crates/control/src/address_takeovers.rs
@@ -19,7 +19,7 @@
 }
 
 /// Instances whose report waits for the confirmation of their address. Local to a leader: an instance whose
-/// report is lost reports again.
+/// report is not answered reports again.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AddressTakeovers {
     candidates: BTreeMap<String, Candidate>,
--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -24,8 +24,8 @@
 /// nearly all of them.
 const HEALTHY_WITHIN_MS: Millis = 400;
 /// Up to this size, a candidate is added to a group of healthy voters. In a larger group it stays on standby
-/// until a voter is silent, so that the number of voters stays odd and one side of an even split keeps a
-/// majority.
+/// until a voter is silent, so that the number of voters stays odd and one side keeps a majority when the
+/// group is partitioned in two.
 const GROWTH_LIMIT: usize = 5;
 /// Minimum size of the group.
 const MIN_VOTERS: usize = 3;
--- a/crates/control/src/driver_io.rs
+++ b/crates/control/src/driver_io.rs
@@ -42,7 +42,7 @@
 pub enum Input<R> {
     /// Time passed.
     Tick,
-    /// Sent by the thread that receives calls every [`PULSE_INTERVAL_MS`](crate::PULSE_INTERVAL_MS), through
+    /// Sent every [`PULSE_INTERVAL_MS`](crate::PULSE_INTERVAL_MS) by the thread that receives calls, through
     /// the same queue as the calls, to measure how late these are handled.
     Pulse,
     /// Messages of the consensus group.
--- a/crates/control/src/input_lag.rs
+++ b/crates/control/src/input_lag.rs
@@ -1,9 +1,9 @@
 //! Measures whether this process handles incoming messages in time.
 //!
 //! A leader that was busy finds all others silent, and would dissolve working groups; forming them again
-//! would delay it even more. So the thread that receives calls sends itself a pulse through the same queue as
-//! the calls. While pulses are late, silence is judged as of the last one that was in time; when they arrive
-//! again, all deadlines are extended by the lost time.
+//! would delay it even more. So the part of the process that receives calls also sends pulses, through the
+//! same queue as the calls. While pulses are late, silence is judged as of the last one that was in time; when
+//! they arrive again, all deadlines are extended by the lost time.
 
 use crate::Millis;
 
--- a/crates/control/src/snapshot_sources.rs
+++ b/crates/control/src/snapshot_sources.rs
@@ -27,8 +27,9 @@
 }
 
 impl SnapshotSources {
-    /// Live daemons that lack at most commands that are cheap to send and that are not serving a snapshot
-    /// already. The newest revision is not required: while the state changes, hardly any daemon has it.
+    /// Returns the live daemons that are not serving a snapshot already and whose missing commands, if any,
+    /// are cheap to send. The newest revision is not required: while the state changes, hardly any daemon has
+    /// it.
     pub fn pool<R>(&mut self, now: Millis, board: &Blackboard, leases: &LeaseTable<R>) -> SourcePool {
         self.assigned_at.retain(|_, assigned_at| now < *assigned_at + SOURCE_BUSY_MS);
         let mut pool = SourcePool::default();
