--- a/crates/simulation/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -1,17 +1,17 @@
-//! Operators' changes on their way, until each has its answer.
+//! Delivery of operators' changes: each is sent until it is answered.
 
-use crate::events::{Event, ReplyTo, ToDaemon};
-use crate::network::Place;
+use crate::events::{DaemonMessage, Event, ReplyTarget};
+use crate::network::Endpoint;
 use crate::operator::{Change, first_outcome};
-use crate::world::{POLL_RETRY_MS, VOTERS, World, daemon_at};
+use crate::world::{NO_LEADER_RETRY_MS, VOTERS, World, daemon_at};
 use dockwood_api::peer::SubmitReply;
 use dockwood_state::{Outcome, decode_outcome};
 use rand::RngExt;
 
-const CHANGE_RETRY_MS: u64 = 500;
+const CHANGE_RESEND_MS: u64 = 500;
 
 impl World {
-    /// Adds an operator's change and sends it.
+    /// Registers an operator's change and sends it.
     pub fn submit(&mut self, change: Change) -> usize {
         self.changes.push(change);
         let index = self.changes.len() - 1;
@@ -19,7 +19,7 @@
         index
     }
 
-    /// Whether every change has its answer.
+    /// Whether every change has been answered.
     pub fn all_answered(&self) -> bool {
         self.changes.iter().all(|change| change.answer.is_some())
     }
@@ -31,38 +31,38 @@
         }
     }
 
-    /// Sends a change, also one that was answered: its answer must be the same.
+    /// Sends a change again. A change that was answered before must get the same answer.
     pub fn resend_change(&mut self, index: usize) {
         let at_ms = self.daemons[0].moment(self.now).wall_ms;
-        let guess = self.random.random_range(0..VOTERS);
+        let random_voter = self.random.random_range(0..VOTERS);
         let change = &mut self.changes[index];
         change.attempt += 1;
         let attempt = change.attempt;
-        let target = change.target.take().unwrap_or(guess);
-        let message = ToDaemon::Submit {
+        let target = change.target.take().unwrap_or(random_voter);
+        let message = DaemonMessage::Submit {
             command: change.encoded(at_ms),
-            reply: ReplyTo::Change { change: index, attempt },
+            reply: ReplyTarget::Change { change: index, attempt },
         };
-        self.transmit(Place::Operator, target, None, message);
+        self.send_to_daemon(Endpoint::Operator, target, None, message);
         self.queue
-            .push(self.now + CHANGE_RETRY_MS, Event::SendChange { change: index, after_attempt: attempt });
+            .push(self.now + CHANGE_RESEND_MS, Event::SendChange { change: index, after_attempt: attempt });
     }
 
     pub(crate) fn change_answered(&mut self, index: usize, attempt: u64, from: usize, reply: SubmitReply) {
-        if self.now < self.changes[index].deaf_until {
+        if self.now < self.changes[index].loses_answers_until {
             return;
         }
         match reply {
             SubmitReply::Applied { outcome, .. } => {
                 let Ok(outcome) = decode_outcome(&outcome) else { return };
                 let outcome: Outcome = first_outcome(outcome);
-                self.checker.answered(self.now, &mut self.changes[index], outcome);
+                self.checker.check_answer(self.now, &mut self.changes[index], outcome);
             }
             SubmitReply::NotLeader { leader } if attempt == self.changes[index].attempt => {
                 self.changes[index].target = leader.and_then(daemon_at).filter(|leader| *leader != from);
-                let pause = if self.changes[index].target.is_some() { 1 } else { POLL_RETRY_MS };
+                let delay = if self.changes[index].target.is_some() { 1 } else { NO_LEADER_RETRY_MS };
                 self.queue
-                    .push(self.now + pause, Event::SendChange { change: index, after_attempt: attempt });
+                    .push(self.now + delay, Event::SendChange { change: index, after_attempt: attempt });
             }
             _ => {}
         }
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold after every event.
+//! Invariants that are checked after every event.
 
 use crate::daemon::Daemon;
 use crate::machine::Machine;
@@ -9,48 +9,51 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What is checked.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub enum Check {
     /// No two nodes commit different entries at one index.
     OneLog,
-    /// No two nodes lead in one term.
+    /// No two nodes are leader in one term.
     OneLeaderPerTerm,
-    /// No two nodes hold a leader's lease at one moment.
+    /// No two nodes hold the leader lease at the same time.
     OneLeaderLease,
-    /// A change that was answered stays, and every resend gets the same answer.
+    /// An answered change is not lost, and every resend gets the same answer.
     ChangesStay,
-    /// Revisions never go back at a process.
+    /// The revision of a process never decreases.
     RevisionsGrow,
-    /// What is said to be in force is applied at every daemon that may take new work.
+    /// Every daemon that may take new work has applied the revision that is reported as in force.
     InForce,
-    /// No machine is in two replicas.
+    /// No machine is a member of two replicas.
     MachineInOneReplica,
-    /// Fences and epochs only grow.
+    /// Fences and epochs never decrease.
     FencesGrow,
-    /// An order counts as carried out only once its machine has carried it out.
+    /// An order is marked as done only after its machine has carried it out.
     OrdersConfirmed,
-    /// Nothing is dispatched to a replica with a machine missing, or with one that works for another.
+    /// No request is dispatched to a replica with a missing machine, or with one that works for another
+    /// replica.
     GateHolds,
-    /// Once everything is healed, all that is declared serves and all daemons agree.
+    /// After all faults are healed, all declared replicas serve and all daemons are at the same revision.
     Recovers,
 }
 
-/// A check that failed.
+/// A failed check.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The violated invariant.
     pub check: Check,
-    /// When, in simulated milliseconds.
+    /// Simulated time in milliseconds.
     pub at_ms: u64,
-    /// What was seen.
+    /// Details of the violation.
     pub detail: String,
 }
 
-/// What the checks remember over a run.
+/// State of the checks over a run.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
+    /// Digest of the committed entry by index.
     log: BTreeMap<u64, u64>,
+    /// Leader by term.
     leaders: BTreeMap<u64, usize>,
     fences: BTreeMap<String, u64>,
     epochs: BTreeMap<String, u64>,
@@ -61,42 +64,42 @@
 
 impl Checker {
     pub fn fail(&mut self, check: Check, at_ms: u64, detail: String) {
-        // One of each kind tells enough, and keeps a broken run short.
-        if self.violations.iter().all(|known| known.check != check) {
+        // One violation of each kind is enough, and keeps the report of a failed run short.
+        if self.violations.iter().all(|previous| previous.check != check) {
             self.violations.push(Violation { check, at_ms, detail });
         }
     }
 
-    /// Entries that a node has committed.
-    pub fn committed(&mut self, at_ms: u64, daemon: usize, entries: &[Entry]) {
+    /// Checks entries that a node has committed.
+    pub fn check_committed(&mut self, at_ms: u64, daemon: usize, entries: &[Entry]) {
         for entry in entries {
             let content = match &entry.payload {
                 Payload::Empty => entry.term,
                 Payload::Command(bytes) => content_digest(bytes) ^ entry.term,
                 Payload::Voters(voters) => content_digest(format!("{voters:?}").as_bytes()) ^ entry.term,
             };
-            let known = *self.log.entry(entry.index).or_insert(content);
-            if known != content {
+            let previous = *self.log.entry(entry.index).or_insert(content);
+            if previous != content {
                 let detail = format!("daemon {daemon} committed another entry at index {}", entry.index);
                 self.fail(Check::OneLog, at_ms, detail);
             }
         }
     }
 
-    /// A node was elected.
-    pub fn elected(&mut self, at_ms: u64, daemon: usize, term: u64) {
-        let known = *self.leaders.entry(term).or_insert(daemon);
-        if known != daemon {
+    /// Checks that no other node is leader in the term.
+    pub fn check_elected(&mut self, at_ms: u64, daemon: usize, term: u64) {
+        let previous = *self.leaders.entry(term).or_insert(daemon);
+        if previous != daemon {
             self.fail(
                 Check::OneLeaderPerTerm,
                 at_ms,
-                format!("daemons {known} and {daemon} lead in term {term}"),
+                format!("daemons {previous} and {daemon} lead in term {term}"),
             );
         }
     }
 
-    /// A change was answered.
-    pub fn answered(&mut self, at_ms: u64, change: &mut Change, outcome: Outcome) {
+    /// Records the first answer to a change, and checks later ones against it.
+    pub fn check_answer(&mut self, at_ms: u64, change: &mut Change, outcome: Outcome) {
         match &change.answer {
             None => change.answer = Some(outcome),
             Some(first) if *first != outcome => {
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Looks at all daemons.
-    pub fn daemons(&mut self, now: u64, daemons: &[Daemon], lease_ignored: bool) {
+    /// Checks leases and revisions of all daemons.
+    pub fn check_daemons(&mut self, now: u64, daemons: &[Daemon], lease_ignored: bool) {
         let leads = |daemon: &&Daemon| {
             daemon.is_up(now) && daemon.node.as_ref().is_some_and(|node| node.leads(daemon.moment(now)))
         };
@@ -131,9 +134,9 @@
             }
         }
         for daemon in daemons {
-            let takes_work =
+            let may_take_work =
                 daemon.is_up(now) && (daemon.holds_lease(now) || (lease_ignored && daemon.lease_until > 0));
-            if takes_work && daemon.revision() < self.in_force {
+            if may_take_work && daemon.revision() < self.in_force {
                 let detail = format!(
                     "{} is at {}, in force is {}",
                     daemon.record.name,
@@ -145,8 +148,8 @@
         }
     }
 
-    /// Looks at tables that have changed.
-    pub fn tables(&mut self, now: u64, tables: &Tables, machines: &[Machine]) {
+    /// Checks tables that are newer than the last checked ones.
+    pub fn check_tables(&mut self, now: u64, tables: &Tables, machines: &[Machine]) {
         if tables.revision <= self.checked_revision {
             return;
         }
@@ -159,34 +162,34 @@
                     self.fail(Check::MachineInOneReplica, now, detail);
                 }
             }
-            let known = self.epochs.entry(row.name.clone()).or_insert(row.epoch);
-            if row.epoch < *known {
-                let detail = format!("epoch of {} from {known} to {}", row.name, row.epoch);
+            let previous = self.epochs.entry(row.name.clone()).or_insert(row.epoch);
+            if row.epoch < *previous {
+                let detail = format!("epoch of {} from {previous} to {}", row.name, row.epoch);
                 self.fail(Check::FencesGrow, now, detail);
             } else {
-                *known = row.epoch;
+                *previous = row.epoch;
             }
         }
         for (server, machine) in &tables.machines {
-            let known = self.fences.entry(server.clone()).or_insert(machine.fence);
-            if machine.fence < *known {
-                let detail = format!("fence of {server} from {known} to {}", machine.fence);
+            let previous = self.fences.entry(server.clone()).or_insert(machine.fence);
+            if machine.fence < *previous {
+                let detail = format!("fence of {server} from {previous} to {}", machine.fence);
                 self.fail(Check::FencesGrow, now, detail);
             } else {
-                *known = machine.fence;
+                *previous = machine.fence;
             }
         }
         for machine in machines {
             let Some(order) = tables.orders.get(&machine.name) else { continue };
             if order.state == OrderState::Done && machine.highest_carried_out < order.fence {
-                let detail = format!("order {} counts as done", order.id);
+                let detail = format!("order {} is marked as done, but was not carried out", order.id);
                 self.fail(Check::OrdersConfirmed, now, detail);
             }
         }
     }
 
-    /// Whether any node claims to lead.
-    pub fn claims_to_lead(daemon: &Daemon) -> Option<u64> {
+    /// Returns the term in which a daemon considers itself the leader.
+    pub fn leading_term(daemon: &Daemon) -> Option<u64> {
         let core = daemon.node.as_ref()?.core()?;
         (core.role() == RoleName::Leader).then(|| core.term())
     }
--- a/crates/simulation/src/daemon.rs
+++ b/crates/simulation/src/daemon.rs
@@ -1,45 +1,46 @@
-//! A simulated daemon: its control node, clock, disk, lease, and what its probers and coordinators know.
+//! A simulated daemon: its control node, clock, disk and lease, and the state of its probers and
+//! coordinators.
 
 use crate::disk::Disk;
-use crate::events::ReplyTo;
+use crate::events::ReplyTarget;
 use dockwood_api::peer::{DaemonRecord, MachineState};
 use dockwood_control::{ControlNode, LEASE_MS, Moment};
 use dockwood_routing::EvidenceTable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One daemon.
+/// A simulated daemon.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub record: DaemonRecord,
-    /// Its id in the control group, if it is a voter.
+    /// Node id in the control group if the daemon is a voter.
     pub voter: Option<u64>,
     pub disk: Disk,
     /// `None` while the process is down.
-    pub node: Option<ControlNode<ReplyTo>>,
+    pub node: Option<ControlNode<ReplyTarget>>,
     pub incarnation: u64,
     pub paused_until: u64,
-    /// Kills the process at the next synced write: before it, or after it.
-    pub dies_at_sync: Option<bool>,
-    /// Where its monotonic clock began, and its rate in thousandths.
+    /// Crashes the process at its next synced write: `true` before the write, `false` after it.
+    pub crash_at_sync: Option<bool>,
+    /// Start value of the monotonic clock, and its rate in thousandths of real time.
     clock_start: u64,
     clock_rate: u64,
-    /// Until when its lease runs, by its own clock.
+    /// End of the lease, by the daemon's own clock.
     pub lease_until: u64,
-    /// The request under way: its number, and when it was sent by its own clock.
-    pub poll: Option<(u64, u64)>,
-    pub next_poll: u64,
-    /// The daemon it takes for the leader.
+    /// The lease request in flight: its id, and the send time by the daemon's own clock.
+    pub pending_lease_request: Option<(u64, u64)>,
+    pub next_lease_request_id: u64,
+    /// The daemon believed to be the leader.
     pub leader: Option<usize>,
     pub leader_term: u64,
-    /// What it has told the leader of that term.
-    pub told: BTreeMap<String, MachineState>,
-    pub told_term: u64,
-    pub retell_at: u64,
-    pub told_idle: BTreeSet<(String, u64)>,
+    /// Machine states reported to the leader of `reported_term`; a state is reported again once it changes.
+    pub reported_machines: BTreeMap<String, MachineState>,
+    pub reported_term: u64,
+    pub full_report_at: u64,
+    pub reported_idle_replicas: BTreeSet<(String, u64)>,
     pub gate: EvidenceTable,
-    /// The newest clock that each daemon has answered to evidence.
+    /// The latest clock value that each daemon returned for evidence.
     pub echoes: BTreeMap<usize, u64>,
-    /// The newest revision that this process has applied.
+    /// The highest revision applied by this process.
     pub highest_revision: u64,
 }
 
@@ -52,25 +53,25 @@
             node: None,
             incarnation: 0,
             paused_until: 0,
-            dies_at_sync: None,
+            crash_at_sync: None,
             clock_start,
             clock_rate,
             lease_until: 0,
-            poll: None,
-            next_poll: 1,
+            pending_lease_request: None,
+            next_lease_request_id: 1,
             leader: None,
             leader_term: 0,
-            told: BTreeMap::new(),
-            told_term: 0,
-            retell_at: 0,
-            told_idle: BTreeSet::new(),
+            reported_machines: BTreeMap::new(),
+            reported_term: 0,
+            full_report_at: 0,
+            reported_idle_replicas: BTreeSet::new(),
             gate: EvidenceTable::default(),
             echoes: BTreeMap::new(),
             highest_revision: 0,
         }
     }
 
-    /// Its clocks at a true time.
+    /// Returns the daemon's clocks at a simulated time.
     pub fn moment(&self, now: u64) -> Moment {
         const EPOCH_MS: u64 = 1_700_000_000_000;
         let monotonic = self.clock_start + now * self.clock_rate / 1_000;
@@ -93,18 +94,18 @@
         self.node.is_some() && self.paused_until <= now
     }
 
-    /// Forgets all that a process holds in memory.
-    pub fn forget_memory(&mut self) {
+    /// Discards all in-memory state of the process.
+    pub fn discard_memory(&mut self) {
         self.node = None;
         self.paused_until = 0;
-        self.dies_at_sync = None;
+        self.crash_at_sync = None;
         self.lease_until = 0;
-        self.poll = None;
+        self.pending_lease_request = None;
         self.leader = None;
         self.leader_term = 0;
-        self.told.clear();
-        self.told_term = 0;
-        self.told_idle.clear();
+        self.reported_machines.clear();
+        self.reported_term = 0;
+        self.reported_idle_replicas.clear();
         self.gate = EvidenceTable::default();
         self.echoes.clear();
         self.highest_revision = 0;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,26 +1,26 @@
-//! A voter's disk: what is synced survives a crash, the rest does not.
+//! A voter's disk: synced data survives a crash, unsynced data does not.
 
 use dockwood_consensus::{Entry, HardState, Recovered};
 use dockwood_control::StoredSnapshot;
 use dockwood_state::State;
 
-/// Synced content of a data folder.
+/// Content of a data directory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     hard_state: HardState,
     snapshot: Option<(u64, u64, Vec<u8>)>,
     entries: Vec<Entry>,
-    /// A seeded defect: writes of entries are acknowledged and lost in a crash.
+    /// Injected defect: entries are acknowledged without a sync, and lost in a crash.
     pub skips_sync: bool,
-    /// A seeded defect: the hard state is never written.
-    pub forgets_vote: bool,
+    /// Injected defect: the hard state is never written.
+    pub drops_hard_state: bool,
     unsynced: Vec<Entry>,
 }
 
 impl Disk {
     /// Appends and syncs.
     pub fn persist(&mut self, hard_state: Option<HardState>, entries: Vec<Entry>) {
-        if let Some(hard_state) = hard_state.filter(|_| !self.forgets_vote) {
+        if let Some(hard_state) = hard_state.filter(|_| !self.drops_hard_state) {
             self.hard_state = hard_state;
         }
         if self.skips_sync {
@@ -36,14 +36,14 @@
     /// Replaces the snapshot and the log.
     pub fn store_snapshot(&mut self, snapshot: StoredSnapshot) {
         self.snapshot = Some((snapshot.index, snapshot.term, snapshot.data));
-        if !self.forgets_vote {
+        if !self.drops_hard_state {
             self.hard_state = snapshot.hard_state;
         }
         self.entries = snapshot.entries;
         self.unsynced.clear();
     }
 
-    /// What a process finds after a crash.
+    /// Returns the state that a process recovers after a crash.
     pub fn recover(&mut self) -> (State, Recovered) {
         self.unsynced.clear();
         let state =
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,46 +1,46 @@
-//! Faults that a run brings about, and defects that prove the checker.
+//! Faults that a run injects, and defects that verify the checks.
 
 use serde::Serialize;
 
-/// What fails. Each heals by itself: processes start again, networks mend.
+/// A fault. Each heals by itself: processes restart and the network recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub enum Fault {
-    /// The control leader's process dies.
+    /// The control leader's process crashes.
     KillLeader,
-    /// The control leader dies at its next synced write, before or after it.
+    /// The control leader crashes at its next synced write, before or after it.
     KillLeaderAtSync,
-    /// A voter that follows dies.
+    /// A voter that is a follower crashes.
     KillFollower,
-    /// The daemon that coordinates a pool dies.
+    /// The daemon that coordinates a pool crashes.
     KillCoordinator,
-    /// The control leader pauses for ten seconds, and then goes on where it was.
+    /// The control leader is suspended for ten seconds, and then continues where it stopped.
     PauseLeader,
-    /// A daemon that is no voter pauses for six seconds.
+    /// A daemon that is not a voter is suspended for six seconds.
     PauseDaemon,
-    /// The control leader is cut off in silence.
+    /// The control leader is partitioned from all others; its messages are dropped in both directions.
     CutOffLeader,
-    /// The control leader is heard by nobody, but hears all.
+    /// All messages from the control leader are dropped, but it still receives messages.
     MuteLeader,
-    /// Messages are lost, doubled, late and out of order for four seconds.
+    /// Messages are lost, duplicated, delayed and reordered for four seconds.
     LossyNetwork,
-    /// Every voter dies at once.
+    /// All voters crash at once.
     KillAllVoters,
-    /// A machine of a replica dies.
+    /// A machine of a replica crashes.
     KillMachine,
-    /// A machine of a replica restarts at once, empty.
+    /// A machine of a replica restarts immediately, with nothing loaded.
     RestartMachine,
-    /// A machine of a replica falls silent for five seconds.
+    /// A machine of a replica does not respond for five seconds.
     SilenceMachine,
-    /// Two machines of one replica die.
+    /// Two machines of one replica crash.
     KillTwoMachines,
-    /// Two operators change one resource at one version.
+    /// Two operators update one resource at the same version.
     RaceOperators,
-    /// Operators' answers are lost, and they send again elsewhere.
+    /// Answers to operators are lost, and the operators resend their changes to a random voter.
     LoseAnswers,
 }
 
 impl Fault {
-    /// Every fault.
+    /// All faults.
     pub const ALL: [Fault; 16] = [
         Fault::KillLeader,
         Fault::KillLeaderAtSync,
@@ -61,27 +61,27 @@
     ];
 }
 
-/// A fault of the code, seeded to see whether the checks find it.
+/// A software defect, injected to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub enum Defect {
     /// Daemons take new work without a lease.
     LeaseIgnored,
-    /// Orders go out under the lowest fence.
+    /// Orders are sent with the lowest fence.
     FenceNotRaised,
-    /// Entries are acknowledged before they are synced.
+    /// Entries are acknowledged without being synced.
     SyncSkipped,
     /// Votes and terms are not stored.
     VoteNotPersisted,
-    /// Requests are dispatched without evidence.
+    /// Requests are dispatched without evidence that the replica is complete.
     GateIgnored,
-    /// Orders count as carried out when they are sent.
+    /// Orders are treated as carried out when they are sent.
     ReleaseNotAwaited,
-    /// Change ids are not remembered.
+    /// Change ids are not retained, so a resent change is applied again.
     ChangeIdsForgotten,
 }
 
 impl Defect {
-    /// Every defect.
+    /// All defects.
     pub const ALL: [Defect; 7] = [
         Defect::LeaseIgnored,
         Defect::FenceNotRaised,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,30 +1,30 @@
-//! A deterministic simulator of a whole fleet's control: the daemons' own logic over a seeded event queue, with
-//! a simulated network, disks, clocks and machines.
+//! Deterministic simulation of the control of a whole fleet: runs the daemons' logic on a seeded event queue,
+//! with a simulated network, disks, clocks and machines.
 //!
-//! What is simulated stands in for I/O alone: delays, losses, cuts, pauses, crashes at sync points, drifting
-//! clocks. Consensus, state, leases, placement and the serving gate are the daemon's crates, unchanged. The same
-//! seed gives the same run. [`scenario::run`] crosses a step of the system's life with faults and checks what
-//! must always hold after every event.
+//! Only I/O is simulated: message delay and loss, network partitions, pauses, crashes at sync points and
+//! clock drift. Consensus, state, leases, placement and the serving gate are the daemon's own crates. Equal
+//! seeds produce equal runs. [`scenario::run`] injects faults at one step of the system's lifecycle and
+//! checks the invariants after every event.
 
 mod changes;
 mod check;
 mod daemon;
 mod disk;
 mod events;
-mod evidence;
 mod fault;
-mod injection;
+mod fault_injection;
 mod leases;
 mod machine;
-mod measure;
+mod measures;
 mod network;
+mod node_driver;
 mod operator;
 mod orders;
+mod probing;
 pub mod scenario;
-mod stepping;
 mod world;
 
 pub use check::{Check, Violation};
 pub use fault::{Defect, Fault};
-pub use measure::Measures;
+pub use measures::Measures;
 pub use scenario::{RunPlan, RunResult, Step, run};
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,43 +1,43 @@
-//! A simulated machine: takes fenced orders, loads, and may be gone, paused or cut off.
+//! A simulated machine: accepts fenced orders, loads weights, and may be down, paused or disconnected.
 
 use dockwood_api::engine::{EngineOrder, LoadPlan, OrderAction};
 use dockwood_api::peer::MachineState;
 
-/// Time that the weight store, which serves one machine after another, takes for one machine's share of the
-/// weights, in milliseconds.
+/// Time that the weight store takes to serve one machine's share of the weights, in milliseconds. It serves
+/// one machine after another.
 pub(crate) const LOAD_MS: u64 = 250;
-/// Time to join a group with weights that are, and to unload.
+/// Time to join a group with weights that are already in memory, or to unload, in milliseconds.
 pub(crate) const JOIN_MS: u64 = 50;
 
 /// Whether a machine answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Power {
+pub(crate) enum MachineStatus {
     On,
-    /// The process is gone.
+    /// The process is down.
     Off,
-    /// The process hangs, or its network is gone.
+    /// The process hangs, or its network is down.
     Silent,
 }
 
-/// What an order takes.
+/// The work that an order requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderWork {
-    /// Weights from the store.
+    /// Load weights from the store.
     Load,
-    /// No more than joining or leaving a group.
+    /// Only join or leave a group.
     Join,
 }
 
-/// One machine.
+/// A simulated machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Machine {
     pub name: String,
     pub checks_fences: bool,
-    pub power: Power,
-    pub power_since: u64,
+    pub status: MachineStatus,
+    pub status_since: u64,
     pub incarnation: u64,
     pub highest_fence: u64,
-    /// The highest number of an order that was carried out; an order's number stands in its id.
+    /// The highest number of a carried-out order; the number is part of the order's id.
     pub highest_carried_out: u64,
     pub order: Option<EngineOrder>,
     pub loaded: Option<LoadPlan>,
@@ -49,8 +49,8 @@
         Machine {
             name,
             checks_fences,
-            power: Power::On,
-            power_since: 0,
+            status: MachineStatus::On,
+            status_since: 0,
             incarnation: 1,
             highest_fence: 0,
             highest_carried_out: 0,
@@ -60,13 +60,13 @@
         }
     }
 
-    pub fn set_power(&mut self, now: u64, power: Power) {
-        if self.power == power {
+    pub fn set_status(&mut self, now: u64, status: MachineStatus) {
+        if self.status == status {
             return;
         }
-        self.power = power;
-        self.power_since = now;
-        if power == Power::Off {
+        self.status = status;
+        self.status_since = now;
+        if status == MachineStatus::Off {
             self.incarnation += 1;
             self.order = None;
             self.loaded = None;
@@ -74,12 +74,12 @@
         }
     }
 
-    /// What a probe finds.
-    pub fn observed(&self) -> MachineState {
-        match self.power {
-            Power::Off => MachineState::Refusing,
-            Power::Silent => MachineState::Silent,
-            Power::On => {
+    /// Returns the state that a probe observes.
+    pub fn observed_state(&self) -> MachineState {
+        match self.status {
+            MachineStatus::Off => MachineState::Refusing,
+            MachineStatus::Silent => MachineState::Silent,
+            MachineStatus::On => {
                 MachineState::alive(self.loaded.as_ref().map(|plan| (plan.replica.as_str(), plan.epoch)))
             }
         }
@@ -87,12 +87,13 @@
 
     pub fn works_for(&self, replica: &str, epoch: u64) -> bool {
         let loaded = self.loaded.as_ref().is_some_and(|plan| plan.replica == replica && plan.epoch == epoch);
-        self.power == Power::On && loaded
+        self.status == MachineStatus::On && loaded
     }
 
-    /// Takes an order; what it takes, or `None` if it is refused or under way.
-    pub fn take_order(&mut self, order: &EngineOrder) -> Option<OrderWork> {
-        if self.power != Power::On || (self.checks_fences && order.fence < self.highest_fence) {
+    /// Accepts an order and returns the work that it requires, or `None` if it is rejected or already in
+    /// progress.
+    pub fn accept_order(&mut self, order: &EngineOrder) -> Option<OrderWork> {
+        if self.status != MachineStatus::On || (self.checks_fences && order.fence < self.highest_fence) {
             return None;
         }
         self.highest_fence = self.highest_fence.max(order.fence);
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Ends an order. False if it was overtaken.
-    pub fn carry_out(&mut self, order_id: &str) -> bool {
+    /// Finishes an order. Returns false if the order was superseded.
+    pub fn finish_order(&mut self, order_id: &str) -> bool {
         let Some(order) = self.order.clone().filter(|order| order.id == order_id) else { return false };
         match order.action {
             OrderAction::Load(plan) => {
@@ -122,8 +123,8 @@
         true
     }
 
-    /// Whether the machine's state is what an order asks for.
-    pub fn is_in_effect(&self, order: &EngineOrder) -> bool {
+    /// Whether the machine is in the state that an order requests.
+    pub fn satisfies(&self, order: &EngineOrder) -> bool {
         match &order.action {
             OrderAction::Load(plan) => self.works_for(&plan.replica, plan.epoch),
             OrderAction::Unload => self.loaded.is_none(),
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -4,18 +4,18 @@
 use rand::rngs::StdRng;
 use std::collections::BTreeSet;
 
-/// Usual delay of a message, in milliseconds.
-const USUAL_DELAY_MS: (u64, u64) = (1, 3);
-/// Delay while the network is lossy.
+/// Range of message delays on a healthy network, in milliseconds.
+const NORMAL_DELAY_MS: (u64, u64) = (1, 3);
+/// Range of message delays while the network is lossy, in milliseconds.
 const LOSSY_DELAY_MS: (u64, u64) = (1, 400);
-/// Messages lost while the network is lossy, in percent.
+/// Message loss while the network is lossy, in percent.
 const LOSS_PERCENT: u32 = 20;
-/// Messages that arrive twice while the network is lossy, in percent.
+/// Duplicated messages while the network is lossy, in percent.
 const DUPLICATE_PERCENT: u32 = 10;
 
-/// An end of a connection.
+/// An endpoint of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Place {
+pub(crate) enum Endpoint {
     /// A daemon, by index.
     Daemon(usize),
     /// A machine, by index.
@@ -24,50 +24,50 @@
     Operator,
 }
 
-/// Who can reach whom, and how well.
+/// State of the links between endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Network {
-    cut: BTreeSet<(Place, Place)>,
+    blocked: BTreeSet<(Endpoint, Endpoint)>,
     pub lossy: bool,
 }
 
 impl Network {
-    /// Cuts one direction.
-    pub fn cut_one_way(&mut self, from: Place, to: Place) {
-        self.cut.insert((from, to));
+    /// Blocks messages in one direction.
+    pub fn block_one_way(&mut self, from: Endpoint, to: Endpoint) {
+        self.blocked.insert((from, to));
     }
 
-    /// Cuts a place off from all others, in silence.
-    pub fn cut_off(&mut self, place: Place, others: impl Iterator<Item = Place>) {
+    /// Drops all messages between an endpoint and the others, in both directions.
+    pub fn isolate(&mut self, endpoint: Endpoint, others: impl Iterator<Item = Endpoint>) {
         for other in others {
-            self.cut.insert((place, other));
-            self.cut.insert((other, place));
+            self.blocked.insert((endpoint, other));
+            self.blocked.insert((other, endpoint));
         }
     }
 
-    /// Everybody reaches everybody again.
+    /// Restores all links.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked.clear();
         self.lossy = false;
     }
 
-    /// Whether anything gets through in this direction.
-    pub fn passes(&self, from: Place, to: Place) -> bool {
-        !self.cut.contains(&(from, to))
+    /// Whether messages are delivered in this direction.
+    pub fn delivers(&self, from: Endpoint, to: Endpoint) -> bool {
+        !self.blocked.contains(&(from, to))
     }
 
-    /// Delays at which a message arrives: none if it is lost, two if it is doubled.
-    pub fn delays(&self, random: &mut StdRng, from: Place, to: Place) -> Vec<u64> {
-        if !self.passes(from, to) {
+    /// Returns the delay of each delivery of a message: none if it is lost, two if it is duplicated.
+    pub fn delivery_delays(&self, random: &mut StdRng, from: Endpoint, to: Endpoint) -> Vec<u64> {
+        if !self.delivers(from, to) {
             return Vec::new();
         }
-        let (least, most) = if self.lossy { LOSSY_DELAY_MS } else { USUAL_DELAY_MS };
-        let mut delays = vec![random.random_range(least..=most)];
+        let (min, max) = if self.lossy { LOSSY_DELAY_MS } else { NORMAL_DELAY_MS };
+        let mut delays = vec![random.random_range(min..=max)];
         if self.lossy && random.random_range(0..100) < LOSS_PERCENT {
             delays.clear();
         }
         if self.lossy && random.random_range(0..100) < DUPLICATE_PERCENT {
-            delays.push(random.random_range(least..=most));
+            delays.push(random.random_range(min..=max));
         }
         delays
     }
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -1,26 +1,27 @@
-//! Orders on their way to machines, as the daemon's order sender sends them.
+//! Delivery of orders to machines, as done by the daemon's order sender.
 
 use crate::check::Check;
-use crate::events::{Event, ToDaemon};
+use crate::events::{DaemonMessage, Event};
 use crate::fault::Defect;
-use crate::machine::{JOIN_MS, LOAD_MS, OrderWork, Power};
-use crate::network::Place;
-use crate::stepping::Carried;
+use crate::machine::{JOIN_MS, LOAD_MS, MachineStatus, OrderWork};
+use crate::network::Endpoint;
+use crate::node_driver::OutputEffect;
 use crate::world::World;
 use dockwood_api::engine::EngineOrder;
 use dockwood_control::{Input, OrderToSend};
 
-/// A pending order is given up by whoever follows it after this long, and sent anew.
+/// Time limit for the answer to an order. After that the sender reports to the control node that the order is
+/// not done, and the control node sends it again.
 const ORDER_TIMEOUT_MS: u64 = 3_000;
 
 impl World {
-    pub(crate) fn send_order(&mut self, from: usize, to_send: OrderToSend) -> Carried {
+    pub(crate) fn send_order(&mut self, from: usize, to_send: OrderToSend) -> OutputEffect {
         let OrderToSend { order, lease_until, .. } = to_send;
         let Some(machine) = self.machines.iter().position(|machine| machine.name == order.server) else {
-            return Carried::Done;
+            return OutputEffect::Done;
         };
         let from_incarnation = self.daemons[from].incarnation;
-        self.followed.insert((from, order.server.clone(), order.fence));
+        self.awaited_orders.insert((from, order.server.clone(), order.fence));
         let timeout = Event::OrderTimeout {
             daemon: from,
             incarnation: from_incarnation,
@@ -39,17 +40,18 @@
         };
         self.queue.push(self.now, event);
         if self.defect == Some(Defect::ReleaseNotAwaited) {
-            return Carried::Follow(Box::new(Input::OrderAnswered {
+            return OutputEffect::NextInput(Box::new(Input::OrderAnswered {
                 server: order.server,
                 fence: order.fence,
                 done: true,
             }));
         }
-        Carried::Done
+        OutputEffect::Done
     }
 
-    /// As the daemon's order sender does: again and again, until the machine has answered or time runs out.
-    pub(crate) fn repeat_order(
+    /// Sends an order repeatedly until the machine has answered or the time limit has passed, as the daemon's
+    /// order sender does.
+    pub(crate) fn send_order_until_answered(
         &mut self,
         sender: (usize, u64),
         machine: usize,
@@ -57,23 +59,25 @@
         lease_until: u64,
     ) {
         let (from, from_incarnation) = sender;
-        const ASK_AGAIN_MS: u64 = 100;
+        const RESEND_INTERVAL_MS: u64 = 100;
         let name = self.machines[machine].name.clone();
         let may_send = self.machines[machine].checks_fences
             || self.daemons[from].moment(self.now).monotonic < lease_until;
-        if !may_send || !self.followed.contains(&(from, name, order_number(&order.id))) {
+        if !may_send || !self.awaited_orders.contains(&(from, name, order_number(&order.id))) {
             return;
         }
-        for delay in self.network.delays(&mut self.random, Place::Daemon(from), Place::Machine(machine)) {
+        for delay in
+            self.network.delivery_delays(&mut self.random, Endpoint::Daemon(from), Endpoint::Machine(machine))
+        {
             let order = order.clone();
             self.queue.push(self.now + delay, Event::Order { machine, from, from_incarnation, order });
         }
         let again =
             Event::SendOrder { daemon: from, incarnation: from_incarnation, machine, order, lease_until };
-        self.queue.push(self.now + ASK_AGAIN_MS, again);
+        self.queue.push(self.now + RESEND_INTERVAL_MS, again);
     }
 
-    pub(crate) fn take_order(
+    pub(crate) fn receive_order(
         &mut self,
         machine: usize,
         from: usize,
@@ -81,13 +85,13 @@
         order: EngineOrder,
     ) {
         let target = &mut self.machines[machine];
-        if target.power != Power::On {
+        if target.status != MachineStatus::On {
             return;
         }
         let machine_incarnation = target.incarnation;
-        let refused = target.checks_fences && order.fence < target.highest_fence;
-        if let Some(work) = target.take_order(&order) {
-            let takes = match work {
+        let is_refused = target.checks_fences && order.fence < target.highest_fence;
+        if let Some(work) = target.accept_order(&order) {
+            let duration = match work {
                 OrderWork::Join => JOIN_MS,
                 OrderWork::Load => {
                     self.store_free_at = self.store_free_at.max(self.now) + LOAD_MS;
@@ -95,20 +99,20 @@
                 }
             };
             let event = Event::OrderCarriedOut { machine, machine_incarnation, order_id: order.id.clone() };
-            self.queue.push(self.now + takes, event);
+            self.queue.push(self.now + duration, event);
         }
         let target = &self.machines[machine];
         let number = order_number(&order.id);
-        let done = target.is_in_effect(&order) && target.highest_carried_out >= number;
-        if done || refused {
-            let message = ToDaemon::OrderAnswered { server: target.name.clone(), fence: number, done };
-            self.transmit(Place::Machine(machine), from, Some(from_incarnation), message);
+        let done = target.satisfies(&order) && target.highest_carried_out >= number;
+        if done || is_refused {
+            let message = DaemonMessage::OrderAnswered { server: target.name.clone(), fence: number, done };
+            self.send_to_daemon(Endpoint::Machine(machine), from, Some(from_incarnation), message);
         }
     }
 
     pub(crate) fn order_carried_out(&mut self, index: usize, incarnation: u64, order_id: &str) {
         let machine = &mut self.machines[index];
-        if machine.incarnation != incarnation || !machine.carry_out(order_id) {
+        if machine.incarnation != incarnation || !machine.finish_order(order_id) {
             return;
         }
         let number = order_number(order_id);
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,10 +1,11 @@
-//! Scenarios: bring the fleet to a step of its life, let things fail there, heal, and see that all is well.
+//! Scenarios: bring the fleet to a step of its lifecycle, inject faults there, heal them, and check that the
+//! fleet recovers.
 
 use crate::check::{Check, Violation};
 use crate::fault::{Defect, Fault};
-use crate::injection::{bring_about, drain_member, lose_member};
-use crate::machine::Power;
-use crate::measure::{Measures, working};
+use crate::fault_injection::{drain_random_member, fail_random_member, inject};
+use crate::machine::MachineStatus;
+use crate::measures::{Measures, count_working};
 use crate::operator::{apply, server_spec};
 use crate::world::{DAEMONS, MACHINES, World};
 use dockwood_api::resource::Kind;
@@ -16,21 +17,21 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Entries in the log before a snapshot: few, so that runs compact often.
+/// Log entries before a snapshot: few, so that runs compact often.
 const COMPACT_AFTER_ENTRIES: u64 = 60;
 const START_LIMIT_MS: u64 = 20_000;
 const FORM_LIMIT_MS: u64 = 20_000;
 const STEP_LIMIT_MS: u64 = 6_000;
-/// Time for a fault to have its effects, before everything is healed.
-const FAULT_MS: u64 = 12_000;
+/// Time for faults to take effect before everything is healed.
+const FAULT_EFFECT_MS: u64 = 12_000;
 const RECOVER_LIMIT_MS: u64 = 60_000;
-/// Replicas declared in every scenario.
+/// Number of replicas declared in every scenario.
 const REPLICAS: u32 = 2;
 
-/// A step in the system's life, during which things fail.
+/// The step of the system's lifecycle at which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub enum Step {
-    /// An operator's change is on its way.
+    /// An operator's change is in transit.
     Apply,
     /// A control leader is being elected.
     Elect,
@@ -38,7 +39,7 @@
     Form,
     /// Machines are loading.
     Load,
-    /// Everything serves.
+    /// All declared replicas serve.
     Serve,
     /// A replica is being repaired.
     Repair,
@@ -50,12 +51,12 @@
     Rollout,
     /// The log has just been compacted.
     Snapshot,
-    /// A daemon hands its duties over.
+    /// A daemon hands over its duties.
     HandOver,
 }
 
 impl Step {
-    /// Every step.
+    /// All steps.
     pub const ALL: [Step; 11] = [
         Step::Apply,
         Step::Elect,
@@ -71,34 +72,34 @@
     ];
 }
 
-/// One run.
+/// The parameters of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunPlan {
-    /// Seeds everything.
+    /// Seed of all randomness of the run.
     pub seed: u64,
-    /// Where things fail.
+    /// The step at which the faults are injected.
     pub step: Step,
-    /// What fails, in order.
+    /// The faults, in order of injection.
     pub faults: Vec<Fault>,
-    /// A defect of the code, to prove the checks.
+    /// A defect to inject, which shows that the checks detect it.
     pub defect: Option<Defect>,
-    /// How replicas are placed.
+    /// Placement policy for replicas.
     #[serde(skip)]
     pub placement: PlacementPolicy,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
-    /// Checks that failed; a run stops at the first.
+    /// Failed checks; a run stops at the first one.
     pub violations: Vec<Violation>,
-    /// The two measures.
+    /// Measures of the run.
     pub measures: Measures,
-    /// Simulated time from the first fault until all was well again.
+    /// Simulated time from the first fault to recovery, in milliseconds; `None` if the fleet did not recover.
     pub recovered_ms: Option<u64>,
 }
 
-/// Runs a plan. The same plan gives the same result.
+/// Runs a plan. Equal plans give equal results.
 pub fn run(plan: &RunPlan) -> RunResult {
     let options = Options {
         compact_after_entries: COMPACT_AFTER_ENTRIES,
@@ -106,25 +107,25 @@
         ..Options::default()
     };
     let mut world = World::new(plan.seed, options, plan.defect);
-    let started = start(&mut world);
+    let started = start_fleet(&mut world);
     let mut recovered_ms = None;
-    if started && reach(&mut world, plan.step) {
-        let begun = world.now;
+    if started && advance_to_step(&mut world, plan.step) {
+        let faults_started_at = world.now;
         for fault in &plan.faults {
             let pause = world.random.random_range(0..1_500);
-            bring_about(&mut world, *fault);
+            inject(&mut world, *fault);
             let until = world.now + pause;
             world.run_until(until);
         }
-        let until = world.now + FAULT_MS;
+        let until = world.now + FAULT_EFFECT_MS;
         world.run_until(until);
-        recovered_ms = recover(&mut world).then(|| world.now - begun);
+        recovered_ms = heal_and_recover(&mut world).then(|| world.now - faults_started_at);
     } else if world.checker.violations.is_empty() {
         let now = world.now;
-        world.checker.fail(Check::Recovers, now, format!("the run did not get as far as {:?}", plan.step));
+        world.checker.fail(Check::Recovers, now, format!("the run did not reach step {:?}", plan.step));
     }
     if world.checker.violations.is_empty() {
-        resend_everything(&mut world);
+        resend_all_changes(&mut world);
     }
     RunResult { violations: world.checker.violations, measures: world.measures, recovered_ms }
 }
@@ -134,8 +135,8 @@
     apply(world, id, "Deployment", "d", spec);
 }
 
-/// Brings the fleet up to where machines are declared and every daemon holds its lease.
-fn start(world: &mut World) -> bool {
+/// Starts the fleet: declares the machines, and waits until every daemon holds its lease.
+fn start_fleet(world: &mut World) -> bool {
     let versions = json!([{ "name": "v1", "weightsMib": 100 }, { "name": "v2", "weightsMib": 100 }]);
     apply(world, "model", "Model", "m", json!({ "versions": versions, "contextTokens": 1 }));
     for index in 0..MACHINES {
@@ -150,31 +151,32 @@
     })
 }
 
-fn all_serve(world: &World) -> bool {
+fn all_replicas_serve(world: &World) -> bool {
     let tables = world.newest_tables();
     let serving = tables.replicas.values().filter(|row| row.phase == ReplicaPhase::Serving).count();
-    serving >= REPLICAS as usize && working(&world.machines, &tables).0 >= REPLICAS as usize
+    serving >= REPLICAS as usize && count_working(&world.machines, &tables).0 >= REPLICAS as usize
 }
 
-fn serve(world: &mut World) -> bool {
+fn deploy_and_serve(world: &mut World) -> bool {
     deploy(world, "deploy", "v1");
-    let formed = world.run_until_true(FORM_LIMIT_MS, |world| world.all_answered() && all_serve(world));
-    world.measure(REPLICAS as usize);
+    let formed =
+        world.run_until_true(FORM_LIMIT_MS, |world| world.all_answered() && all_replicas_serve(world));
+    world.start_measuring(REPLICAS as usize);
     formed
 }
 
-/// Brings the fleet to a step, and starts to measure.
-fn reach(world: &mut World, step: Step) -> bool {
+/// Brings the fleet to a step and starts measuring.
+fn advance_to_step(world: &mut World, step: Step) -> bool {
     if matches!(step, Step::Form | Step::Load) {
         deploy(world, "deploy", "v1");
-        world.measure(REPLICAS as usize);
+        world.start_measuring(REPLICAS as usize);
         return world.run_until_true(STEP_LIMIT_MS, |world| {
             let tables = world.newest_tables();
             let loading = world.machines.iter().any(|machine| machine.order.is_some());
             !tables.replicas.is_empty() && (step == Step::Form || loading)
         });
     }
-    if !serve(world) {
+    if !deploy_and_serve(world) {
         return false;
     }
     match step {
@@ -198,13 +200,13 @@
             true
         }
         Step::Repair => {
-            lose_member(world, Power::Off);
+            fail_random_member(world, MachineStatus::Off);
             world.run_until_true(STEP_LIMIT_MS, |world| {
                 world.newest_tables().replicas.values().any(is_repaired)
             })
         }
         Step::AfterRepair => {
-            lose_member(world, Power::Off);
+            fail_random_member(world, MachineStatus::Off);
             let repaired = |world: &World| {
                 let tables = world.newest_tables();
                 tables.replicas.values().any(|row| is_repaired(row) && row.phase == ReplicaPhase::Serving)
@@ -212,7 +214,7 @@
             world.run_until_true(STEP_LIMIT_MS, repaired)
         }
         Step::Drain => {
-            drain_member(world);
+            drain_random_member(world);
             world.run_until_true(STEP_LIMIT_MS, |world| {
                 let tables = world.newest_tables();
                 tables.replicas.len() > REPLICAS as usize
@@ -242,7 +244,7 @@
         Step::HandOver => {
             let tables = world.newest_tables();
             let coordinator = tables.pools.get("d").and_then(|pool| pool.coordinator.clone());
-            world.leaving =
+            world.leaving_daemon =
                 world.daemons.iter().position(|daemon| Some(&daemon.record.name) == coordinator.as_ref());
             world.run_until_true(STEP_LIMIT_MS, |world| {
                 world.newest_tables().daemons.values().any(|daemon| daemon.liveness == Liveness::Leaving)
@@ -252,7 +254,7 @@
     }
 }
 
-/// Whether a replica has taken the place of one that lost a machine: by a new epoch, or formed anew.
+/// Whether a replica replaces one that lost a machine: under a new epoch, or as a newly formed replica.
 fn is_repaired(row: &Arc<ReplicaRow>) -> bool {
     let number = row.name.rsplit('-').next().and_then(|number| number.parse::<u32>().ok());
     row.epoch > 1 || number.is_some_and(|number| number > REPLICAS)
@@ -263,28 +265,28 @@
     cores.map(|core| core.snapshot_index()).max().unwrap_or(0)
 }
 
-/// Heals everything and waits until all is well.
-fn recover(world: &mut World) -> bool {
+/// Heals all faults and waits for recovery.
+fn heal_and_recover(world: &mut World) -> bool {
     world.network.heal();
-    world.leaving = None;
+    world.leaving_daemon = None;
     for index in 0..DAEMONS {
-        world.daemons[index].dies_at_sync = None;
+        world.daemons[index].crash_at_sync = None;
         world.start_daemon(index);
     }
     for machine in 0..MACHINES {
         let now = world.now;
-        world.machines[machine].set_power(now, Power::On);
+        world.machines[machine].set_status(now, MachineStatus::On);
     }
-    let well = world.run_until_true(RECOVER_LIMIT_MS, is_well);
-    if !well && world.checker.violations.is_empty() {
-        let detail = describe(world);
+    let recovered = world.run_until_true(RECOVER_LIMIT_MS, has_recovered);
+    if !recovered && world.checker.violations.is_empty() {
+        let detail = describe_state(world);
         let now = world.now;
         world.checker.fail(Check::Recovers, now, detail);
     }
-    well
+    recovered
 }
 
-fn is_well(world: &World) -> bool {
+fn has_recovered(world: &World) -> bool {
     let revisions: Vec<u64> = world.daemons.iter().map(|daemon| daemon.revision()).collect();
     let agree = revisions.iter().all(|revision| *revision == revisions[0]);
     let leases = world.daemons.iter().all(|daemon| daemon.holds_lease(world.now));
@@ -293,10 +295,10 @@
         .iter()
         .filter_map(|daemon| daemon.node.as_ref())
         .all(|node| node.in_force_revision() == revisions[0]);
-    agree && leases && in_force && world.all_answered() && all_serve(world)
+    agree && leases && in_force && world.all_answered() && all_replicas_serve(world)
 }
 
-fn describe(world: &World) -> String {
+fn describe_state(world: &World) -> String {
     let tables = world.newest_tables();
     let replicas: Vec<String> = tables
         .replicas
@@ -308,7 +310,7 @@
         .iter()
         .map(|machine| {
             let loaded = machine.loaded.as_ref().map(|plan| format!("{}/{}", plan.replica, plan.epoch));
-            format!("{} {:?} {loaded:?}", machine.name, machine.power)
+            format!("{} {:?} {loaded:?}", machine.name, machine.status)
         })
         .collect();
     let revisions: Vec<u64> = world.daemons.iter().map(|daemon| daemon.revision()).collect();
@@ -334,14 +336,18 @@
     )
 }
 
-/// Every answered change is sent once more; its answer must be the same, also after restarts and compaction.
-fn resend_everything(world: &mut World) {
+/// Resends every change: an answered one must get the same answer, also after restarts and compaction.
+fn resend_all_changes(world: &mut World) {
     (0..world.changes.len()).for_each(|change| world.resend_change(change));
     let until = world.now + 2_000;
     world.run_until(until);
     let tables = world.newest_tables();
     if tables.resource(Kind::Deployment, "d").is_none() {
         let now = world.now;
-        world.checker.fail(Check::ChangesStay, now, "the deployment is gone".to_string());
+        world.checker.fail(
+            Check::ChangesStay,
+            now,
+            "the deployment is missing after the resends".to_string(),
+        );
     }
 }
--- a/crates/simulation/tests/matrix.rs
+++ b/crates/simulation/tests/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix in short, with fixed seeds, and the proof that its checks can fail.
+//! A short version of the fault matrix with fixed seeds, and tests that its checks detect injected defects.
 
 use dockwood_placement::PlacementPolicy;
 use dockwood_simulation::{Check, Defect, Fault, RunPlan, RunResult, Step, run};
@@ -31,7 +31,7 @@
     assert_eq!(first.recovered_ms, second.recovered_ms);
 }
 
-fn found(defect: Defect, step: Step, faults: &[Fault]) -> Option<Check> {
+fn first_violated_check(defect: Defect, step: Step, faults: &[Fault]) -> Option<Check> {
     let results = (0..60).map(|seed| run(&RunPlan { defect: Some(defect), ..plan(seed, step, faults) }));
     results.filter_map(|result: RunResult| result.violations.first().map(|violation| violation.check)).next()
 }
@@ -46,5 +46,5 @@
     change_ids_forgotten = { Defect::ChangeIdsForgotten, Step::Apply, &[Fault::LoseAnswers, Fault::RaceOperators] },
 )]
 fn a_seeded_defect_is_found(defect: Defect, step: Step, faults: &[Fault]) {
-    assert!(found(defect, step, faults).is_some());
+    assert!(first_violated_check(defect, step, faults).is_some());
 }
