--- a/crates/emulator/src/cli.rs
+++ b/crates/emulator/src/cli.rs
@@ -1,11 +1,11 @@
-//! The emulator's command line, shared by the `dockwood-emulator` program and the bench.
+//! The emulator's command line, shared by the `dockwood-emulator` and `dockwood-bench` programs.
 
 use crate::{Fleet, FleetConfig};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The command line.
+/// Returns the command line definition.
 pub fn command() -> Command {
     Command::new("dockwood-emulator").about("Emulates model engines, plain services and the platform").arg(
         Arg::new("fleet")
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,4 +1,4 @@
-//! The fleet file: which machines and services to emulate, and how fast they are.
+//! The fleet file: the machines and services to emulate, and their speed.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -6,35 +6,35 @@
 use std::path::{Path, PathBuf};
 
 quick_error! {
-    /// Why a fleet file can't be used.
+    /// Why a fleet file could not be loaded.
     #[derive(Debug)]
     pub enum ConfigError {
-        /// The file can't be read.
+        /// The file could not be read.
         Read(path: PathBuf, error: std::io::Error) {
             display("{}: {}", path.display(), error)
         }
-        /// The file is not a fleet.
+        /// The file is not a valid fleet file.
         Parse(path: PathBuf, message: String) {
             display("{}: {}", path.display(), message)
         }
     }
 }
 
-/// A whole emulated fleet.
+/// An emulated fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Seeds jitter.
+    /// Random seed, currently unused.
     pub seed: u64,
     /// Address of the admin port and the platform's list.
     pub admin: SocketAddr,
-    /// Ledger file; its folder must exist.
+    /// Ledger file; its directory must exist.
     pub ledger: PathBuf,
-    /// Rate of the weight store over all machines, in MiB a second.
+    /// Total bandwidth of the weight store, in MiB per second.
     pub store_mib_per_second: u64,
-    /// How far the platform's list lags, in milliseconds.
+    /// Delay of the platform's list of machines, in milliseconds.
     pub list_lag_ms: u64,
-    /// Speed of the engines.
+    /// Performance model of the engines.
     #[serde(default)]
     pub model: EngineModel,
     /// Machines with engines.
@@ -44,27 +44,27 @@
     pub services: Vec<ServiceConfig>,
 }
 
-/// How long an engine's steps take and how much it holds.
+/// Performance model of an engine: step times and capacity.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields, default)]
 pub struct EngineModel {
     /// Time of a decode step with an empty batch, in microseconds.
     pub step_micros: u64,
-    /// Added to a step for each running request, in microseconds.
+    /// Additional step time per running request, in microseconds.
     pub per_request_micros: u64,
-    /// Added for each prompt token that is not cached, in microseconds.
+    /// Additional step time per prompt token that is not cached, in microseconds.
     pub prefill_token_micros: u64,
-    /// Requests in the running batch, at most.
+    /// Maximum number of requests in the running batch.
     pub max_batch: usize,
     /// KV blocks of one group.
     pub kv_blocks: u32,
-    /// Tokens in one KV block.
+    /// Tokens per KV block.
     pub block_tokens: u32,
-    /// How old the load figures in a health answer are, in milliseconds.
+    /// Maximum age of the load in a health response, in milliseconds.
     pub load_lag_ms: u64,
-    /// How late cache events are published, in milliseconds.
+    /// Publication delay of cache events, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// Every so many cache events, one is lost; 0 for none.
+    /// One cache event in this many is lost; 0 for none.
     pub cache_event_gap: u64,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// One machine.
+/// An emulated machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct EngineConfig {
@@ -96,23 +96,23 @@
     pub domain: String,
     /// Zone.
     pub zone: String,
-    /// Whether it refuses orders below its highest fence.
+    /// Whether the machine rejects orders below its highest fence.
     pub checks_fences: bool,
 }
 
-/// One plain service.
+/// An emulated plain service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ServiceConfig {
     /// Service name.
     pub name: String,
-    /// Time of a call, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub call_ms: u64,
-    /// Its servers.
+    /// Servers of the service.
     pub servers: Vec<ServiceServerConfig>,
 }
 
-/// One server of a plain service.
+/// A server of a plain service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ServiceServerConfig {
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,34 +1,34 @@
-//! The whole emulated fleet: starts every machine and service and the admin port.
+//! The emulated fleet: starts all machines, services and the admin port.
 
 use crate::config::FleetConfig;
 use crate::http;
 use crate::ledger::LedgerWriter;
 use crate::machine::Machine;
-use crate::manner::RequestManner;
 use crate::platform::PlatformList;
+use crate::pushback::Pushback;
 use crate::weights::WeightStore;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::task::JoinHandle;
 
-/// What all parts of the fleet share.
+/// State shared by all parts of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     /// The fleet file.
     pub config: FleetConfig,
     /// Machines by name.
     pub machines: BTreeMap<String, Arc<Machine>>,
-    /// How the servers of plain services treat calls, by name.
-    pub plain_servers: BTreeMap<String, Arc<RequestManner>>,
+    /// Pushback of the servers of plain services, by server name.
+    pub service_pushback: BTreeMap<String, Arc<Pushback>>,
     /// The weight store.
-    pub store: WeightStore,
-    /// The platform's list.
+    pub weight_store: WeightStore,
+    /// The platform's list of machines.
     pub platform: Arc<PlatformList>,
     /// The ledger.
     pub ledger: Arc<LedgerWriter>,
 }
 
-/// A running fleet; it stops when this is dropped.
+/// A running fleet, which stops when this handle is dropped.
 #[derive(Debug)]
 pub struct FleetHandle {
     /// The fleet.
@@ -43,7 +43,7 @@
 }
 
 impl Fleet {
-    /// Starts everything; returns once every address is listened on.
+    /// Starts the fleet. Returns once the listeners on all addresses are open.
     pub async fn start(config: FleetConfig) -> std::io::Result<FleetHandle> {
         let ledger = Arc::new(LedgerWriter::open(&config.ledger)?);
         let machines: BTreeMap<String, Arc<Machine>> = config
@@ -52,10 +52,10 @@
             .map(|engine| (engine.name.clone(), Arc::new(Machine::new(engine.clone()))))
             .collect();
         let servers = config.services.iter().flat_map(|service| &service.servers);
-        let plain_servers = servers.map(|server| (server.name.clone(), Arc::default())).collect();
+        let service_pushback = servers.map(|server| (server.name.clone(), Arc::default())).collect();
         let fleet = Arc::new(Fleet {
-            plain_servers,
-            store: WeightStore::new(config.store_mib_per_second),
+            service_pushback,
+            weight_store: WeightStore::new(config.store_mib_per_second),
             platform: Arc::new(PlatformList::new(config.list_lag_ms)),
             ledger,
             machines,
--- a/crates/emulator/src/group.rs
+++ b/crates/emulator/src/group.rs
@@ -1,9 +1,9 @@
-//! A group of machines that serve one replica: continuous batching over a shared KV memory. The head drives
-//! the steps; a step runs only while every member works.
+//! A group of machines that serves one replica, with continuous batching over a shared KV cache. The head
+//! runs the steps; a step only runs while all members work.
 
 use crate::config::EngineModel;
 use crate::ledger::{LedgerRecord, LedgerWriter};
-use crate::machine::{Machine, Power};
+use crate::machine::{Machine, MachineStatus};
 use crate::prefix_cache::{CacheEvent, PrefixCache};
 use crate::run::{Progress, Run};
 use crate::wall_ms;
@@ -12,21 +12,21 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A member that hangs is given up after this long; one that is gone, at once.
+/// A member that hangs counts as missing after this time; one that is down, immediately.
 const MEMBER_TIMEOUT_MS: u64 = 500;
-/// Time between looks while nothing runs.
-const IDLE_STEP: Duration = Duration::from_millis(5);
-/// Ended requests that a head remembers.
-const REMEMBERED_REQUESTS: usize = 50_000;
-/// Blocks in the prefix cache for each KV block.
-const CACHE_BLOCKS_DIVISOR: u32 = 4;
+/// Polling interval while nothing runs.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of requests that a head keeps a record of.
+const MAX_RECORDED_REQUESTS: usize = 50_000;
+/// KV blocks per block of the prefix cache.
+const KV_BLOCKS_PER_CACHE_BLOCK: u32 = 4;
 
-/// Why a request was not taken.
+/// Why a request was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum SubmitError {
     /// The head serves another replica or epoch.
     WrongEpoch,
-    /// The id was barred.
+    /// The request id was barred.
     Barred,
 }
 
@@ -34,45 +34,46 @@
 struct Requests {
     waiting: Vec<Arc<Run>>,
     running: Vec<Arc<Run>>,
-    /// All requests that the head remembers; `None` for barred ids.
-    known: HashMap<String, Option<Arc<Run>>>,
-    order: std::collections::VecDeque<String>,
+    /// All recorded requests by id; `None` for barred ids.
+    by_id: HashMap<String, Option<Arc<Run>>>,
+    /// Ids of the recorded requests, oldest first.
+    id_order: std::collections::VecDeque<String>,
     blocks_used: u32,
 }
 
-/// Load figures of a group.
+/// Load of a group.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GroupLoad {
     /// Requests in the batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
     /// KV blocks in use.
     pub blocks_used: u32,
 }
 
-/// One group.
+/// A group of machines that serves one replica.
 #[derive(Debug)]
 pub struct Group {
-    /// What it serves.
+    /// The plan that the group was loaded with.
     pub plan: LoadPlan,
     members: Vec<Arc<Machine>>,
     model: EngineModel,
     ledger: Arc<LedgerWriter>,
     requests: Mutex<Requests>,
     cache: Mutex<PrefixCache>,
-    reported: Mutex<(u64, GroupLoad)>,
+    load_sample: Mutex<(u64, GroupLoad)>,
 }
 
 impl Group {
-    /// A group that is not yet running.
+    /// Creates a group that is not running yet.
     pub fn new(
         plan: LoadPlan,
         members: Vec<Arc<Machine>>,
         model: EngineModel,
         ledger: Arc<LedgerWriter>,
     ) -> Self {
-        let cache = PrefixCache::new((model.kv_blocks / CACHE_BLOCKS_DIVISOR) as usize);
+        let cache = PrefixCache::new((model.kv_blocks / KV_BLOCKS_PER_CACHE_BLOCK) as usize);
         Group {
             plan,
             members,
@@ -80,7 +81,7 @@
             ledger,
             requests: Mutex::default(),
             cache: Mutex::new(cache),
-            reported: Mutex::default(),
+            load_sample: Mutex::default(),
         }
     }
 
@@ -92,71 +93,74 @@
         self.cache.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Members that the group can't work without and does not hear of.
-    pub fn missing(&self) -> Vec<String> {
+    /// Returns the members that are down, do not respond or are not loaded for this group. The group can't
+    /// run a step without them.
+    pub fn missing_members(&self) -> Vec<String> {
         let now = wall_ms();
-        let works = |machine: &Arc<Machine>| {
-            let (power, since) = machine.power();
-            match power {
-                Power::Off => false,
-                Power::Paused | Power::Cut => now < since + MEMBER_TIMEOUT_MS,
-                Power::On => machine.works_for(&self.plan.replica, self.plan.epoch),
+        let is_working = |machine: &Arc<Machine>| {
+            let (status, since) = machine.status();
+            match status {
+                MachineStatus::Stopped => false,
+                MachineStatus::Paused | MachineStatus::Disconnected => now < since + MEMBER_TIMEOUT_MS,
+                MachineStatus::Running => machine.works_for(&self.plan.replica, self.plan.epoch),
             }
         };
         self.members
             .iter()
-            .filter(|machine| !works(machine))
+            .filter(|machine| !is_working(machine))
             .map(|machine| machine.config.name.clone())
             .collect()
     }
 
-    fn all_work(&self) -> bool {
+    fn all_members_work(&self) -> bool {
         self.members.iter().all(|machine| machine.works_for(&self.plan.replica, self.plan.epoch))
     }
 
-    /// Load figures, as old as the model says.
+    /// Returns the load, which is up to `load_lag_ms` old.
     pub fn reported_load(&self) -> GroupLoad {
-        let mut reported = self.reported.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut load_sample = self.load_sample.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let now = wall_ms();
-        if now >= reported.0 + self.model.load_lag_ms {
+        if now >= load_sample.0 + self.model.load_lag_ms {
             let requests = self.requests();
             let load = GroupLoad {
                 running: requests.running.len() as u32,
                 waiting: requests.waiting.len() as u32,
                 blocks_used: requests.blocks_used,
             };
-            *reported = (now, load);
+            *load_sample = (now, load);
         }
-        reported.1
+        load_sample.1
     }
 
-    /// Takes a request, or joins the run of the same id if it may not be started twice.
-    pub fn submit(&self, request: GenerateRequest) -> Result<Arc<Run>, Refused> {
+    /// Accepts a request, or returns the existing run of the same id if the request must not be started
+    /// twice.
+    pub fn submit(&self, request: GenerateRequest) -> Result<Arc<Run>, SubmitError> {
         if request.replica != self.plan.replica || request.epoch != self.plan.epoch {
-            return Err(Refused::WrongEpoch);
+            return Err(SubmitError::WrongEpoch);
         }
         let mut requests = self.requests();
-        match requests.known.get(&request.id) {
-            Some(None) => return Err(Refused::Barred),
+        match requests.by_id.get(&request.id) {
+            Some(None) => return Err(SubmitError::Barred),
             Some(Some(run)) if !request.repeatable => {
-                // Whatever became of it, its tokens can be read again; none is generated anew.
+                // The tokens that it generated can be read again, but none are generated again, whatever its
+                // result.
                 return Ok(run.clone());
             }
             _ => {}
         }
         self.record_dispatch(&request);
         let run = Arc::new(Run::new(request));
-        requests.remember(&run.request.id, Some(run.clone()));
+        requests.record(&run.request.id, Some(run.clone()));
         requests.waiting.push(run.clone());
-        // Stable, so that requests of one priority keep their order.
+        // A stable sort, which keeps the order of requests with equal priority.
         requests.waiting.sort_by_key(|waiting| waiting.request.priority);
         Ok(run)
     }
 
     fn record_dispatch(&self, request: &GenerateRequest) {
         let down = |machine: &Arc<Machine>| {
-            let (power, since) = machine.power();
-            (power != Power::On).then(|| (machine.config.name.clone(), since))
+            let (status, since) = machine.status();
+            (status != MachineStatus::Running).then(|| (machine.config.name.clone(), since))
         };
         let leaving = |machine: &Arc<Machine>| {
             machine.leaving_since().map(|since| (machine.config.name.clone(), since))
@@ -173,9 +177,9 @@
         });
     }
 
-    /// What the head knows of a request.
+    /// Returns the state of a request.
     pub fn state(&self, id: &str) -> RequestState {
-        match self.requests().known.get(id) {
+        match self.requests().by_id.get(id) {
             None => RequestState { phase: RequestPhase::Unseen, next_sequence: 0 },
             Some(None) => RequestState { phase: RequestPhase::Barred, next_sequence: 0 },
             Some(Some(run)) => {
@@ -185,19 +189,19 @@
         }
     }
 
-    /// Bars an id that was not seen; answers what is known of it.
+    /// Bars a request id unless it was seen before, and returns the state of the request.
     pub fn bar(&self, id: &str) -> RequestState {
         let mut requests = self.requests();
-        if !requests.known.contains_key(id) {
-            requests.remember(id, None);
+        if !requests.by_id.contains_key(id) {
+            requests.record(id, None);
         }
         drop(requests);
         self.state(id)
     }
 
-    /// Stops a request.
+    /// Cancels a request.
     pub fn cancel(&self, id: &str) {
-        let run = self.requests().known.get(id).cloned().flatten();
+        let run = self.requests().by_id.get(id).cloned().flatten();
         if let Some(run) = run {
             self.abort(&run);
         }
@@ -213,13 +217,13 @@
         requests.waiting.retain(|other| !Arc::ptr_eq(other, run));
         requests.running.retain(|other| !Arc::ptr_eq(other, run));
         if was_running {
-            requests.blocks_used -= self.blocks(run).min(requests.blocks_used);
+            requests.blocks_used -= self.kv_blocks(run).min(requests.blocks_used);
         }
         drop(requests);
-        self.end(run, RequestPhase::Aborted);
+        self.finish(run, RequestPhase::Aborted);
     }
 
-    fn end(&self, run: &Run, phase: RequestPhase) {
+    fn finish(&self, run: &Run, phase: RequestPhase) {
         let next_sequence = run.progress().next_sequence;
         self.ledger.append(&LedgerRecord::Ended {
             at_ms: wall_ms(),
@@ -233,46 +237,46 @@
         run.set_progress(Progress { phase, next_sequence });
     }
 
-    fn blocks(&self, run: &Run) -> u32 {
+    fn kv_blocks(&self, run: &Run) -> u32 {
         (run.prompt_tokens + run.total_tokens).div_ceil(self.model.block_tokens)
     }
 
-    /// Cache events that are visible by now.
+    /// Returns the cache events after `after` that are published by now.
     pub fn cache_events(&self, after: u64) -> Vec<CacheEvent> {
         let until = wall_ms().saturating_sub(self.model.cache_event_lag_ms);
         self.cache().events(after, until, self.model.cache_event_gap)
     }
 
-    /// Cached blocks of a prompt.
+    /// Returns the cached blocks of a prompt.
     pub fn export_cache(&self, prompt: &str) -> Vec<u64> {
         self.cache().export(prompt)
     }
 
-    /// Takes cached blocks from elsewhere.
+    /// Adds cached blocks of another group.
     pub fn import_cache(&self, blocks: &[u64]) {
         self.cache().import(blocks, wall_ms());
     }
 
-    /// Runs steps until the head no longer heads this group.
+    /// Runs steps until the head leaves this group.
     pub async fn run(self: Arc<Self>) {
         let head = self.members[0].clone();
         loop {
-            let heads = head.group().is_some_and(|group| Arc::ptr_eq(&group, &self));
-            if !heads {
+            let is_head = head.group().is_some_and(|group| Arc::ptr_eq(&group, &self));
+            if !is_head {
                 break;
             }
-            head.wait_responsive().await;
-            if !self.all_work() {
-                if !self.missing().is_empty() {
+            head.wait_until_responsive().await;
+            if !self.all_members_work() {
+                if !self.missing_members().is_empty() {
                     self.abort_all();
                 }
-                tokio::time::sleep(IDLE_STEP).await;
+                tokio::time::sleep(IDLE_POLL_INTERVAL).await;
                 continue;
             }
             let step = self.begin_step();
             tokio::time::sleep(step).await;
-            // A member that was lost meanwhile has taken the step's result with it.
-            if self.all_work() {
+            // If a member failed during the step, its result is lost.
+            if self.all_members_work() {
                 self.finish_step();
             }
         }
@@ -286,14 +290,14 @@
         all.iter().for_each(|run| self.abort(run));
     }
 
-    /// Fills the batch and returns how long the step takes.
+    /// Fills the batch and returns the duration of the step.
     fn begin_step(&self) -> Duration {
         self.abort_abandoned();
         let mut prefill_tokens = 0;
         let mut requests = self.requests();
         while requests.running.len() < self.model.max_batch {
             let Some(next) = requests.waiting.first().cloned() else { break };
-            let blocks = self.blocks(&next);
+            let blocks = self.kv_blocks(&next);
             if requests.blocks_used + blocks > self.model.kv_blocks && !requests.running.is_empty() {
                 break;
             }
@@ -307,23 +311,23 @@
         let batch = requests.running.len() as u64;
         drop(requests);
         if batch == 0 {
-            return IDLE_STEP;
+            return IDLE_POLL_INTERVAL;
         }
         let micros = self.model.step_micros
             + batch * self.model.per_request_micros
             + prefill_tokens * self.model.prefill_token_micros;
-        let slowest = self.members.iter().map(|machine| machine.slow_percent()).max().unwrap_or(100);
+        let slowest = self.members.iter().map(|machine| machine.step_percent()).max().unwrap_or(100);
         Duration::from_micros(micros * slowest / 100)
     }
 
-    /// A repeatable request that nobody listens to any more is given up, as engines do.
+    /// Aborts repeatable requests that no caller reads any more, as real engines do.
     fn abort_abandoned(&self) {
         let requests = self.requests();
         let abandoned: Vec<Arc<Run>> = requests
             .waiting
             .iter()
             .chain(&requests.running)
-            .filter(|run| run.request.repeatable && !run.is_watched())
+            .filter(|run| run.request.repeatable && !run.is_subscribed())
             .cloned()
             .collect();
         drop(requests);
@@ -348,23 +352,23 @@
             if next_sequence >= run.total_tokens {
                 let mut requests = self.requests();
                 requests.running.retain(|other| !Arc::ptr_eq(other, &run));
-                requests.blocks_used -= self.blocks(&run).min(requests.blocks_used);
+                requests.blocks_used -= self.kv_blocks(&run).min(requests.blocks_used);
                 drop(requests);
-                self.end(&run, RequestPhase::Finished);
+                self.finish(&run, RequestPhase::Finished);
             }
         }
     }
 }
 
 impl Requests {
-    fn remember(&mut self, id: &str, run: Option<Arc<Run>>) {
-        if self.known.insert(id.to_string(), run).is_none() {
-            self.order.push_back(id.to_string());
+    fn record(&mut self, id: &str, run: Option<Arc<Run>>) {
+        if self.by_id.insert(id.to_string(), run).is_none() {
+            self.id_order.push_back(id.to_string());
         }
-        while self.order.len() > REMEMBERED_REQUESTS
-            && let Some(oldest) = self.order.pop_front()
+        while self.id_order.len() > MAX_RECORDED_REQUESTS
+            && let Some(oldest) = self.id_order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.by_id.remove(&oldest);
         }
     }
 }
--- a/crates/emulator/src/http/mod.rs
+++ b/crates/emulator/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP sides of the emulated fleet.
+//! HTTP interfaces of the emulated fleet.
 
 mod admin;
 mod engine;
--- a/crates/emulator/src/http/server.rs
+++ b/crates/emulator/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Listening, and stopping the hard way.
+//! Listener and server setup.
 
 use dockwood_listen::PromptAcceptor;
 use poem::listener::Acceptor;
@@ -11,7 +11,7 @@
     tokio::net::TcpListener::bind(address).await.map(PromptAcceptor::new)
 }
 
-/// Serves until `stop` completes; then every connection is dropped at once, as when a process dies.
+/// Serves until `stop` completes, and then drops all connections immediately, as when a process crashes.
 pub async fn serve_until<E>(
     acceptor: impl Acceptor + 'static,
     endpoint: E,
@@ -24,6 +24,6 @@
         .run_with_graceful_shutdown(endpoint, stop, Some(Duration::ZERO))
         .await;
     if let Err(error) = served {
-        eprintln!("server: {error}");
+        eprintln!("HTTP server failed: {error}");
     }
 }
--- a/crates/emulator/src/ledger.rs
+++ b/crates/emulator/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: what really happened, one JSON object a line, in order.
+//! The ledger: a record of everything that was actually executed, one JSON object per line, in order.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -6,27 +6,27 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// One record; times are milliseconds since the Unix epoch.
+/// A ledger record. Times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "camelCase", rename_all_fields = "camelCase")]
 pub enum LedgerRecord {
-    /// A head took a request.
+    /// A head accepted a request.
     Dispatched {
         /// When.
         at_ms: u64,
         /// Request id.
         request: String,
-        /// Replica and epoch that the head was loaded for.
+        /// Replica that the head was loaded for.
         replica: String,
         /// Epoch of the replica.
         epoch: u64,
-        /// First sequence asked for.
+        /// First sequence number requested.
         resume_from: u32,
         /// False for requests that must not be started twice.
         repeatable: bool,
-        /// Members that were down, with the time since when, in milliseconds since the Unix epoch.
+        /// Members that were down, each with the start time of its outage.
         missing: Vec<(String, u64)>,
-        /// Members that were marked as leaving, with the time since when.
+        /// Members that were marked as leaving, each with the time when it was marked.
         leaving: Vec<(String, u64)>,
     },
     /// A request produced its first token in this run.
@@ -39,7 +39,7 @@
         replica: String,
         /// Epoch.
         epoch: u64,
-        /// First sequence produced.
+        /// First sequence number produced.
         from: u32,
     },
     /// A run ended.
@@ -52,14 +52,14 @@
         replica: String,
         /// Epoch.
         epoch: u64,
-        /// First sequence that this run produced.
+        /// First sequence number requested from this run.
         from: u32,
-        /// First sequence that was not produced.
+        /// First sequence number that was not produced.
         to: u32,
-        /// Whether the whole answer was produced.
+        /// Whether the complete answer was produced.
         finished: bool,
     },
-    /// A group began to serve.
+    /// A group started to serve.
     GroupFormed {
         /// When.
         at_ms: u64,
@@ -81,23 +81,23 @@
         /// Epoch of the replica.
         epoch: u64,
     },
-    /// The admin port changed a machine.
+    /// A server was changed through the admin port, or its engine crashed.
     MachineChanged {
         /// When.
         at_ms: u64,
         /// Server name.
         server: String,
-        /// What was done.
+        /// The change.
         change: String,
     },
-    /// A server rejected a request, and asked for rest.
+    /// A server rejected a request and requested a back-off.
     RequestRejected {
         /// When.
         at_ms: u64,
         /// Server name.
         server: String,
     },
-    /// A plain service took a call.
+    /// A plain service received a call.
     ServiceCalled {
         /// When.
         at_ms: u64,
@@ -112,7 +112,7 @@
     },
 }
 
-/// Appends records to a file. Records reach the file at once, so that a killed emulator loses none.
+/// Appends records to a file. Each record is written immediately, so that a killed emulator loses none.
 #[derive(Debug)]
 pub struct LedgerWriter {
     file: Mutex<File>,
@@ -125,8 +125,8 @@
         Ok(LedgerWriter { file: Mutex::new(file) })
     }
 
-    /// Appends one record. A ledger that can't be written would make every judgement worthless, so the
-    /// process ends.
+    /// Appends a record. Exits the process if that fails: an incomplete ledger would invalidate every check
+    /// that is based on it.
     pub fn append(&self, record: &LedgerRecord) {
         let written = serde_json::to_string(record).map_err(std::io::Error::other).and_then(|mut line| {
             line.push('\n');
@@ -134,13 +134,13 @@
             file.write_all(line.as_bytes())
         });
         if let Err(error) = written {
-            eprintln!("ledger: {error}");
+            eprintln!("failed to write the ledger: {error}");
             std::process::exit(1);
         }
     }
 }
 
-/// Reads all records of a ledger. A line that is not a record is an error: nothing may be passed over.
+/// Reads all records of a ledger. A line that can't be parsed is an error, as no record may be skipped.
 pub fn read_ledger(path: &Path) -> std::io::Result<Vec<LedgerRecord>> {
     let reader = BufReader::new(File::open(path)?);
     reader.lines().map(|line| serde_json::from_str(&line?).map_err(std::io::Error::other)).collect()
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -1,41 +1,41 @@
-//! One machine: whether it answers, what it has loaded, and the orders it takes.
+//! An emulated machine: its status, the loaded model and its orders.
 
 use crate::config::EngineConfig;
 use crate::group::Group;
-use crate::manner::RequestManner;
+use crate::pushback::Pushback;
 use crate::wall_ms;
 use dockwood_api::engine::{EngineOrder, LoadPlan, OrderProgress, OrderReply};
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// Whether a machine answers.
+/// Status of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Power {
-    /// It answers.
-    On,
-    /// The process is gone; connections are refused.
-    Off,
-    /// The process is stopped; connections hang.
+pub enum MachineStatus {
+    /// The machine responds.
+    Running,
+    /// The process is down; connections are refused.
+    Stopped,
+    /// The process is suspended; connections hang.
     Paused,
-    /// The network is gone; connections hang.
-    Cut,
+    /// The network is down; connections hang.
+    Disconnected,
 }
 
-/// An order and how far it is.
+/// An order and its progress.
 #[derive(Clone, Debug)]
 struct OrderStatus {
     id: String,
     progress: OrderProgress,
 }
 
-/// What a machine holds; lost when its process ends, but for the fence.
+/// State of a machine. A stop clears the loaded model and the order, but not the fence.
 #[derive(Debug)]
-struct MachineCore {
-    power: Power,
-    power_since_ms: u64,
+struct MachineState {
+    status: MachineStatus,
+    status_since_ms: u64,
     incarnation: u64,
     leaving_since_ms: Option<u64>,
-    slow_percent: u64,
+    step_percent: u64,
     highest_fence: u64,
     order: Option<OrderStatus>,
     loaded: Option<LoadPlan>,
@@ -43,26 +43,26 @@
     group: Option<Arc<Group>>,
 }
 
-/// One emulated machine.
+/// An emulated machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its entry in the fleet file.
+    /// Entry in the fleet file.
     pub config: EngineConfig,
-    /// How it treats requests.
-    pub manner: RequestManner,
-    core: Mutex<MachineCore>,
-    power: watch::Sender<Power>,
+    /// Pushback towards callers.
+    pub pushback: Pushback,
+    state: Mutex<MachineState>,
+    status: watch::Sender<MachineStatus>,
 }
 
 impl Machine {
-    /// A machine that answers and has nothing loaded.
+    /// Creates a running machine with nothing loaded.
     pub fn new(config: EngineConfig) -> Self {
-        let core = MachineCore {
-            power: Power::On,
-            power_since_ms: wall_ms(),
+        let state = MachineState {
+            status: MachineStatus::Running,
+            status_since_ms: wall_ms(),
             incarnation: 1,
             leaving_since_ms: None,
-            slow_percent: 100,
+            step_percent: 100,
             highest_fence: 0,
             order: None,
             loaded: None,
@@ -71,125 +71,125 @@
         };
         Machine {
             config,
-            manner: RequestManner::default(),
-            core: Mutex::new(core),
-            power: watch::channel(Power::On).0,
+            pushback: Pushback::default(),
+            state: Mutex::new(state),
+            status: watch::channel(MachineStatus::Running).0,
         }
     }
 
-    fn core(&self) -> MutexGuard<'_, MachineCore> {
-        self.core.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn state(&self) -> MutexGuard<'_, MachineState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Follows the machine's power.
-    pub fn watch_power(&self) -> watch::Receiver<Power> {
-        self.power.subscribe()
+    /// Subscribes to the machine's status.
+    pub fn watch_status(&self) -> watch::Receiver<MachineStatus> {
+        self.status.subscribe()
     }
 
-    /// Waits while the machine is paused or cut off.
-    pub async fn wait_responsive(&self) {
-        let mut power = self.power.subscribe();
-        while matches!(*power.borrow_and_update(), Power::Paused | Power::Cut) {
-            if power.changed().await.is_err() {
+    /// Waits while the machine is paused or disconnected.
+    pub async fn wait_until_responsive(&self) {
+        let mut status = self.status.subscribe();
+        while matches!(*status.borrow_and_update(), MachineStatus::Paused | MachineStatus::Disconnected) {
+            if status.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Changes the power. Switching off loses all that is in memory.
-    pub fn set_power(&self, next: Power) {
-        let mut core = self.core();
-        if core.power == next {
+    /// Sets the status. Stopping the machine clears everything it has in memory.
+    pub fn set_status(&self, next: MachineStatus) {
+        let mut state = self.state();
+        if state.status == next {
             return;
         }
-        core.power = next;
-        core.power_since_ms = wall_ms();
-        if next == Power::Off {
-            core.incarnation += 1;
-            core.order = None;
-            core.loaded = None;
-            core.weights = None;
-            core.group = None;
+        state.status = next;
+        state.status_since_ms = wall_ms();
+        if next == MachineStatus::Stopped {
+            state.incarnation += 1;
+            state.order = None;
+            state.loaded = None;
+            state.weights = None;
+            state.group = None;
         }
-        drop(core);
-        self.power.send_replace(next);
+        drop(state);
+        self.status.send_replace(next);
     }
 
-    /// The machine's power and since when, in milliseconds since the Unix epoch.
-    pub fn power(&self) -> (Power, u64) {
-        let core = self.core();
-        (core.power, core.power_since_ms)
+    /// Returns the status, and the time of its last change in milliseconds since the Unix epoch.
+    pub fn status(&self) -> (MachineStatus, u64) {
+        let state = self.state();
+        (state.status, state.status_since_ms)
     }
 
-    /// Marks the machine as leaving, or takes that back.
+    /// Sets or clears the mark that the machine is leaving.
     pub fn set_leaving(&self, leaving: bool) {
-        self.core().leaving_since_ms = leaving.then(wall_ms);
+        self.state().leaving_since_ms = leaving.then(wall_ms);
     }
 
-    /// Since when the machine is leaving.
+    /// Returns the time since which the machine is leaving, if it is.
     pub fn leaving_since(&self) -> Option<u64> {
-        self.core().leaving_since_ms
+        self.state().leaving_since_ms
     }
 
-    /// Sets the time of each step, in percent of normal.
-    pub fn set_slow(&self, percent: u64) {
-        self.core().slow_percent = percent.max(1);
+    /// Sets the step time, in percent of normal.
+    pub fn set_step_percent(&self, percent: u64) {
+        self.state().step_percent = percent.max(1);
     }
 
-    /// The time of each step, in percent of normal.
-    pub fn slow_percent(&self) -> u64 {
-        self.core().slow_percent
+    /// Returns the step time, in percent of normal.
+    pub fn step_percent(&self) -> u64 {
+        self.state().step_percent
     }
 
-    /// What is loaded.
+    /// Returns the plan that is loaded.
     pub fn loaded(&self) -> Option<LoadPlan> {
-        self.core().loaded.clone()
+        self.state().loaded.clone()
     }
 
-    /// The group that this machine heads.
+    /// Returns the group that this machine heads.
     pub fn group(&self) -> Option<Arc<Group>> {
-        self.core().group.clone()
+        self.state().group.clone()
     }
 
-    /// The highest fence seen.
+    /// Returns the highest fence of all accepted orders.
     pub fn highest_fence(&self) -> u64 {
-        self.core().highest_fence
+        self.state().highest_fence
     }
 
-    /// Takes an order. Returns the answer, and true if the order is new and must be carried out.
-    pub fn take_order(&self, order: &EngineOrder) -> (OrderReply, bool) {
-        let mut core = self.core();
-        let stale = order.fence < core.highest_fence;
-        if stale && self.config.checks_fences {
+    /// Accepts or rejects an order. Returns the reply, and true if the order is new and must be carried out.
+    pub fn accept_order(&self, order: &EngineOrder) -> (OrderReply, bool) {
+        let mut state = self.state();
+        let is_stale = order.fence < state.highest_fence;
+        if is_stale && self.config.checks_fences {
             return (
-                OrderReply { progress: OrderProgress::Fenced, highest_fence: core.highest_fence },
+                OrderReply { progress: OrderProgress::Fenced, highest_fence: state.highest_fence },
                 false,
             );
         }
-        core.highest_fence = core.highest_fence.max(order.fence);
-        let highest_fence = core.highest_fence;
-        if let Some(known) = core.order.as_ref().filter(|known| known.id == order.id) {
+        state.highest_fence = state.highest_fence.max(order.fence);
+        let highest_fence = state.highest_fence;
+        if let Some(known) = state.order.as_ref().filter(|known| known.id == order.id) {
             return (OrderReply { progress: known.progress, highest_fence }, false);
         }
-        core.order = Some(OrderStatus { id: order.id.clone(), progress: OrderProgress::Working });
-        core.loaded = None;
-        core.group = None;
+        state.order = Some(OrderStatus { id: order.id.clone(), progress: OrderProgress::Working });
+        state.loaded = None;
+        state.group = None;
         (OrderReply { progress: OrderProgress::Working, highest_fence }, true)
     }
 
-    /// Whether the weights of this plan are in memory already.
+    /// Whether the weights of this plan are already in memory.
     pub fn has_weights(&self, plan: &LoadPlan) -> bool {
         let wanted = (plan.model.clone(), plan.version.clone());
-        self.core().weights.as_ref() == Some(&wanted)
+        self.state().weights.as_ref() == Some(&wanted)
     }
 
-    /// Identifies the process; changes when the machine is switched off.
+    /// Returns the incarnation of the process, which changes when the machine is stopped.
     pub fn incarnation(&self) -> u64 {
-        self.core().incarnation
+        self.state().incarnation
     }
 
-    /// Ends an order with what is loaded by it. False if the order was overtaken, or the machine was switched
-    /// off since.
+    /// Marks an order as done and stores what it loaded. Returns false if the order was superseded or the
+    /// machine was stopped in the meantime.
     pub fn finish_order(
         &self,
         order_id: &str,
@@ -197,24 +197,24 @@
         loaded: Option<LoadPlan>,
         group: Option<Arc<Group>>,
     ) -> bool {
-        let mut core = self.core();
-        let current = core.order.as_ref().is_some_and(|order| order.id == order_id);
-        if !current || core.incarnation != incarnation {
+        let mut state = self.state();
+        let is_current = state.order.as_ref().is_some_and(|order| order.id == order_id);
+        if !is_current || state.incarnation != incarnation {
             return false;
         }
-        core.order = Some(OrderStatus { id: order_id.to_string(), progress: OrderProgress::Done });
+        state.order = Some(OrderStatus { id: order_id.to_string(), progress: OrderProgress::Done });
         if let Some(plan) = &loaded {
-            core.weights = Some((plan.model.clone(), plan.version.clone()));
+            state.weights = Some((plan.model.clone(), plan.version.clone()));
         }
-        core.loaded = loaded;
-        core.group = group;
+        state.loaded = loaded;
+        state.group = group;
         true
     }
 
-    /// Whether the machine works for this replica and epoch right now.
+    /// Whether the machine currently works for this replica and epoch.
     pub fn works_for(&self, replica: &str, epoch: u64) -> bool {
-        let core = self.core();
-        let loaded = core.loaded.as_ref().is_some_and(|plan| plan.replica == replica && plan.epoch == epoch);
-        core.power == Power::On && loaded
+        let state = self.state();
+        let loaded = state.loaded.as_ref().is_some_and(|plan| plan.replica == replica && plan.epoch == epoch);
+        state.status == MachineStatus::Running && loaded
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `dockwood-emulator`: runs an emulated fleet from a fleet file until it is told to stop.
+//! `dockwood-emulator`: runs an emulated fleet from a fleet file until SIGTERM or SIGINT.
 
 use dockwood_emulator::cli;
 use std::process::ExitCode;
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,16 +1,16 @@
-//! The platform's list of live and leaving machines, which lags.
+//! The platform's list of live and leaving machines, which is delayed.
 
-use crate::machine::{Machine, Power};
+use crate::machine::{Machine, MachineStatus};
 use crate::wall_ms;
 use dockwood_api::engine::PlatformMachine;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two looks at the machines.
-const SAMPLE_EVERY: Duration = Duration::from_millis(250);
+/// Interval at which the machines are sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Samples of the list; the one shown is as old as the lag says.
+/// Samples of the list. The visible one is the newest that is at least `lag_ms` old.
 #[derive(Debug)]
 pub struct PlatformList {
     lag_ms: u64,
@@ -18,17 +18,17 @@
 }
 
 impl PlatformList {
-    /// An empty list of this lag.
+    /// Creates an empty list with this delay.
     pub fn new(lag_ms: u64) -> Self {
         PlatformList { lag_ms, samples: Mutex::default() }
     }
 
-    /// Samples the machines for ever.
+    /// Samples the machines periodically. Never returns.
     pub async fn run(self: Arc<Self>, machines: Vec<Arc<Machine>>) {
         loop {
             let rows = machines.iter().map(|machine| row(machine)).collect();
             self.push(rows);
-            tokio::time::sleep(SAMPLE_EVERY).await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     }
 
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The list as the platform shows it now.
-    pub fn shown(&self) -> Vec<PlatformMachine> {
+    /// Returns the list that the platform currently shows.
+    pub fn visible(&self) -> Vec<PlatformMachine> {
         let samples = self.samples.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         samples.front().map(|(_, rows)| rows.clone()).unwrap_or_default()
     }
@@ -51,7 +51,7 @@
 fn row(machine: &Machine) -> PlatformMachine {
     PlatformMachine {
         server: machine.config.name.clone(),
-        live: machine.power().0 != Power::Off,
+        live: machine.status().0 != MachineStatus::Stopped,
         leaving: machine.leaving_since().is_some(),
     }
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,37 +1,37 @@
-//! One request in a group: what it asks for, and how far it is.
+//! The execution of a request in a group.
 
 use crate::text::{answer_length, prompt_digest, token_count};
 use dockwood_api::engine::{GenerateRequest, RequestPhase};
 use std::sync::Mutex;
 use tokio::sync::watch;
 
-/// How far a request is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Its phase.
+    /// Phase of the request.
     pub phase: RequestPhase,
-    /// The first sequence not produced.
+    /// First sequence number not produced yet.
     pub next_sequence: u32,
 }
 
-/// A request in a group.
+/// The execution of a request in a group.
 #[derive(Debug)]
 pub struct Run {
     /// The request.
     pub request: GenerateRequest,
-    /// Identifies the prompt, and with it the answer.
+    /// Digest of the prompt, which determines the answer.
     pub prompt_digest: u64,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the whole answer.
+    /// Number of tokens in the complete answer.
     pub total_tokens: u32,
-    /// Prompt tokens that were in the cache; set when the run begins.
+    /// Number of prompt tokens found in the prefix cache; set when the run enters the batch.
     cached_tokens: Mutex<u32>,
     progress: watch::Sender<Progress>,
 }
 
 impl Run {
-    /// A request that runs from where it asks to be resumed.
+    /// Creates a run that starts at the sequence number from which the request resumes.
     pub fn new(request: GenerateRequest) -> Run {
         let total_tokens = answer_length(&request.prompt, request.max_tokens);
         let first = request.resume_from.min(total_tokens);
@@ -46,33 +46,33 @@
         }
     }
 
-    /// Follows the run.
+    /// Subscribes to the progress of the run.
     pub fn watch(&self) -> watch::Receiver<Progress> {
         self.progress.subscribe()
     }
 
-    /// Prompt tokens that were in the cache.
+    /// Returns the number of prompt tokens found in the prefix cache.
     pub fn cached_tokens(&self) -> u32 {
         *self.cached_tokens.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Notes how many prompt tokens were in the cache.
+    /// Sets the number of prompt tokens found in the prefix cache.
     pub fn set_cached_tokens(&self, tokens: u32) {
         *self.cached_tokens.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = tokens;
     }
 
-    /// How far it is.
+    /// Returns the progress.
     pub fn progress(&self) -> Progress {
         *self.progress.borrow()
     }
 
-    /// Notes how far it is.
+    /// Sets the progress.
     pub fn set_progress(&self, progress: Progress) {
         self.progress.send_replace(progress);
     }
 
-    /// Whether anybody follows it.
-    pub fn is_watched(&self) -> bool {
+    /// Whether anyone is subscribed to the run.
+    pub fn is_subscribed(&self) -> bool {
         self.progress.receiver_count() > 0
     }
 }
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -1,5 +1,5 @@
-//! Answers: a pure function of the prompt, so that a caller can tell a whole answer to its own request from a
-//! cut one, or one that belongs to somebody else.
+//! Answer texts. They are a pure function of the prompt, so that a caller can distinguish a complete answer
+//! to its own request from a truncated one or one to another request.
 
 use xxhash_rust::xxh64::xxh64;
 
@@ -8,41 +8,41 @@
     "wi", "xo", "yu", "za", "bre", "cli", "dro", "flu", "gra", "ple", "sti", "tro", "sku", "sha", "che",
 ];
 
-/// A prompt with these words ends the process of each engine that begins to run it.
+/// A prompt that contains this text crashes every engine that starts to run it.
 pub const FATAL_PROMPT: &str = "ends whatever engine runs it";
 
-/// Shortest natural answer, in tokens.
+/// Minimum length of an answer that is not limited by the request, in tokens.
 const MIN_ANSWER_TOKENS: u64 = 12;
-/// Spread of natural answer lengths, in tokens.
-const ANSWER_SPREAD_TOKENS: u64 = 64;
-/// Bytes of text in one token of a prompt.
+/// Range of the lengths of such answers, in tokens.
+const ANSWER_RANGE_TOKENS: u64 = 64;
+/// Bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Identifies a prompt.
+/// Returns a digest that identifies a prompt.
 pub fn prompt_digest(prompt: &str) -> u64 {
     xxh64(prompt.as_bytes(), 1)
 }
 
-/// Tokens in a text.
+/// Returns the number of tokens in a text.
 pub fn token_count(text: &str) -> u32 {
     text.len().div_ceil(BYTES_PER_TOKEN) as u32
 }
 
-/// Tokens in the answer to a prompt.
+/// Returns the number of tokens in the answer to a prompt.
 pub fn answer_length(prompt: &str, max_tokens: u32) -> u32 {
-    let natural = MIN_ANSWER_TOKENS + prompt_digest(prompt) % ANSWER_SPREAD_TOKENS;
-    max_tokens.min(natural as u32)
+    let unlimited = MIN_ANSWER_TOKENS + prompt_digest(prompt) % ANSWER_RANGE_TOKENS;
+    max_tokens.min(unlimited as u32)
 }
 
-/// Text of one token.
+/// Returns the text of one token.
 pub fn token_text(prompt_digest: u64, sequence: u32) -> String {
-    let mixed = xxh64(&sequence.to_le_bytes(), prompt_digest);
-    let syllable = |shift: u32| SYLLABLES[(mixed >> shift) as usize % SYLLABLES.len()];
+    let hash = xxh64(&sequence.to_le_bytes(), prompt_digest);
+    let syllable = |shift: u32| SYLLABLES[(hash >> shift) as usize % SYLLABLES.len()];
     let separator = if sequence == 0 { "" } else { " " };
     format!("{separator}{}{}", syllable(0), syllable(20))
 }
 
-/// The whole answer to a prompt.
+/// Returns the complete answer to a prompt.
 pub fn expected_answer(prompt: &str, max_tokens: u32) -> String {
     let digest = prompt_digest(prompt);
     (0..answer_length(prompt, max_tokens)).map(|sequence| token_text(digest, sequence)).collect()
--- a/crates/emulator/src/weights.rs
+++ b/crates/emulator/src/weights.rs
@@ -1,12 +1,13 @@
-//! The weight store: one rate for all machines, shared in small pieces in order of arrival.
+//! The weight store. All machines share its bandwidth: it serves their loads in small chunks, in order of
+//! arrival.
 
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// A load takes turns with others after this many MiB.
-const PIECE_MIB: u64 = 64;
+/// Size of a chunk in MiB, after which other loads get their turn.
+const CHUNK_MIB: u64 = 64;
 
-/// A rate-limited store.
+/// A store with limited bandwidth.
 #[derive(Debug)]
 pub struct WeightStore {
     mib_per_second: u64,
@@ -14,19 +15,19 @@
 }
 
 impl WeightStore {
-    /// A store of this rate.
+    /// Creates a store with this bandwidth.
     pub fn new(mib_per_second: u64) -> Self {
         WeightStore { mib_per_second: mib_per_second.max(1), turn: Mutex::new(()) }
     }
 
-    /// Fetches so many MiB; returns when the last has arrived.
+    /// Fetches weights of this size. Returns when the last chunk has arrived.
     pub async fn fetch(&self, mib: u64) {
-        let mut left = mib;
-        while left > 0 {
-            let piece = left.min(PIECE_MIB);
+        let mut remaining = mib;
+        while remaining > 0 {
+            let chunk = remaining.min(CHUNK_MIB);
             let _turn = self.turn.lock().await;
-            tokio::time::sleep(Duration::from_micros(piece * 1_000_000 / self.mib_per_second)).await;
-            left -= piece;
+            tokio::time::sleep(Duration::from_micros(chunk * 1_000_000 / self.mib_per_second)).await;
+            remaining -= chunk;
         }
     }
 }
--- a/crates/emulator/tests/emulator.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -1,5 +1,5 @@
-//! The emulated platform keeps its own promises: groups depend on each member, fences are checked where they
-//! should be, runs resume by sequence, and the ledger tells what happened.
+//! Tests of the emulator: a group depends on every member, fences are checked where configured, runs resume
+//! by sequence number, and the ledger records what was executed.
 
 use dockwood_api::engine::{
     EngineOrder, GenerateEvent, GenerateRequest, LoadPlan, Member, OrderAction, OrderProgress, OrderReply,
@@ -12,22 +12,22 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-type Outcome = Result<(), Box<dyn std::error::Error>>;
+type TestResult = Result<(), Box<dyn std::error::Error>>;
 
-struct Rig {
+struct TestFleet {
     handle: FleetHandle,
-    folder: TempDir,
+    directory: TempDir,
     http: reqwest::Client,
 }
 
-/// Four machines on free ports; the last one does not check fences.
-async fn rig() -> Result<Rig, Box<dyn std::error::Error>> {
-    rig_with_steps_of(2_000).await
+/// Starts a fleet of four machines on free ports. The last machine does not check fences.
+async fn start_fleet() -> Result<TestFleet, Box<dyn std::error::Error>> {
+    start_fleet_with_steps(2_000).await
 }
 
-/// As above, with decode steps of so many microseconds.
-async fn rig_with_steps_of(step_micros: u64) -> Result<Rig, Box<dyn std::error::Error>> {
-    let folder = TempDir::new()?;
+/// The same with the given base time of a decode step, in microseconds.
+async fn start_fleet_with_steps(step_micros: u64) -> Result<TestFleet, Box<dyn std::error::Error>> {
+    let directory = TempDir::new()?;
     let free_address =
         || -> std::io::Result<SocketAddr> { std::net::TcpListener::bind("127.0.0.1:0")?.local_addr() };
     let mut engines = Vec::new();
@@ -43,17 +43,17 @@
     let config = FleetConfig {
         seed: 1,
         admin: free_address()?,
-        ledger: folder.path().join("ledger.jsonl"),
+        ledger: directory.path().join("ledger.jsonl"),
         store_mib_per_second: 100_000,
         list_lag_ms: 0,
         model: EngineModel { step_micros, ..EngineModel::default() },
         engines,
         services: Vec::new(),
     };
-    Ok(Rig { handle: Fleet::start(config).await?, folder, http: reqwest::Client::new() })
+    Ok(TestFleet { handle: Fleet::start(config).await?, directory, http: reqwest::Client::new() })
 }
 
-impl Rig {
+impl TestFleet {
     fn address(&self, number: usize) -> SocketAddr {
         self.handle.fleet.config.engines[number].address
     }
@@ -83,7 +83,7 @@
         self.http.post(url).json(&order).send().await?.json().await
     }
 
-    async fn load_all(&self, epoch: u64) -> Outcome {
+    async fn load_all(&self, epoch: u64) -> TestResult {
         for number in 0..4 {
             while self.order(number, epoch, OrderAction::Load(self.plan(epoch))).await?.progress
                 != OrderProgress::Done
@@ -121,7 +121,7 @@
         Ok((status, events))
     }
 
-    async fn admin(&self, machine: usize, change: &str) -> Outcome {
+    async fn admin(&self, machine: usize, change: &str) -> TestResult {
         let url = format!("http://{}/admin/machines/m{machine}/{change}", self.handle.fleet.config.admin);
         self.http.post(url).send().await?.error_for_status()?;
         Ok(())
@@ -137,61 +137,61 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_whole_group_answers_and_resumes_by_sequence() -> Outcome {
-    let rig = rig().await?;
-    rig.load_all(1).await?;
-    let (status, events) = rig.generate(&rig.request("a", 0, true)).await?;
+async fn a_complete_group_answers_and_resumes_by_sequence_number() -> TestResult {
+    let fleet = start_fleet().await?;
+    fleet.load_all(1).await?;
+    let (status, events) = fleet.generate(&fleet.request("a", 0, true)).await?;
     let expected = expected_answer("a prompt", 40);
     assert_eq!((status, text(&events)), (200, expected.clone()));
-    let (_, rest) = rig.generate(&rig.request("b", 5, true)).await?;
+    let (_, rest) = fleet.generate(&fleet.request("b", 5, true)).await?;
     assert!(expected.ends_with(&text(&rest)) && text(&rest).len() < expected.len());
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_one_member_nothing_is_generated() -> Outcome {
-    // Slow enough that the answer can't be whole before the machine is killed.
-    let rig = rig_with_steps_of(200_000).await?;
-    rig.load_all(1).await?;
-    let request = rig.request("a", 0, true);
-    let (run, killed) = tokio::join!(rig.generate(&request), async {
+async fn nothing_is_generated_while_a_member_is_missing() -> TestResult {
+    // Slow enough that the answer can't be complete before the machine is killed.
+    let fleet = start_fleet_with_steps(200_000).await?;
+    fleet.load_all(1).await?;
+    let request = fleet.request("a", 0, true);
+    let (run, killed) = tokio::join!(fleet.generate(&request), async {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        rig.admin(2, "kill").await
+        fleet.admin(2, "kill").await
     });
     killed?;
     let (_, events) = run?;
     assert!(matches!(events.last(), Some(GenerateEvent::Aborted { .. })), "{events:?}");
     assert!(expected_answer("a prompt", 40).starts_with(&text(&events)));
-    let (_, later) = rig.generate(&rig.request("b", 0, true)).await?;
+    let (_, later) = fleet.generate(&fleet.request("b", 0, true)).await?;
     assert_eq!(text(&later), "");
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn fences_are_checked_only_where_the_fleet_file_says_so() -> Outcome {
-    let rig = rig().await?;
-    rig.load_all(5).await?;
-    assert_eq!(rig.order(0, 4, OrderAction::Unload).await?.progress, OrderProgress::Fenced);
-    assert_ne!(rig.order(3, 4, OrderAction::Unload).await?.progress, OrderProgress::Fenced);
+async fn fences_are_checked_only_where_configured() -> TestResult {
+    let fleet = start_fleet().await?;
+    fleet.load_all(5).await?;
+    assert_eq!(fleet.order(0, 4, OrderAction::Unload).await?.progress, OrderProgress::Fenced);
+    assert_ne!(fleet.order(3, 4, OrderAction::Unload).await?.progress, OrderProgress::Fenced);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_barred_id_is_refused_and_a_seen_one_is_never_run_again() -> Outcome {
-    let rig = rig().await?;
-    rig.load_all(1).await?;
+async fn a_barred_id_is_refused_and_a_seen_one_is_never_run_again() -> TestResult {
+    let fleet = start_fleet().await?;
+    fleet.load_all(1).await?;
     let bar = |id: &'static str| {
-        let url = format!("http://{}/engine/requests/{id}/bar", rig.address(0));
-        let sending = rig.http.post(url).send();
+        let url = format!("http://{}/engine/requests/{id}/bar", fleet.address(0));
+        let sending = fleet.http.post(url).send();
         async move { sending.await?.json::<RequestState>().await }
     };
     assert_eq!(bar("x").await?.phase, RequestPhase::Barred);
-    assert_eq!(rig.generate(&rig.request("x", 0, false)).await?.0, 410);
-    rig.generate(&rig.request("y", 0, false)).await?;
+    assert_eq!(fleet.generate(&fleet.request("x", 0, false)).await?.0, 410);
+    fleet.generate(&fleet.request("y", 0, false)).await?;
     assert_eq!(bar("y").await?.phase, RequestPhase::Finished);
-    let (_, again) = rig.generate(&rig.request("y", 0, false)).await?;
+    let (_, again) = fleet.generate(&fleet.request("y", 0, false)).await?;
     assert_eq!(text(&again), expected_answer("a prompt", 40));
-    let ledger = read_ledger(&rig.folder.path().join("ledger.jsonl"))?;
+    let ledger = read_ledger(&fleet.directory.path().join("ledger.jsonl"))?;
     let runs = |id: &str| {
         ledger
             .iter()
@@ -203,11 +203,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_machine_refuses_connections_and_comes_back_empty() -> Outcome {
-    let rig = rig().await?;
-    rig.load_all(1).await?;
-    rig.admin(1, "kill").await?;
-    let health = format!("http://{}/engine/health", rig.address(1));
+async fn a_killed_machine_refuses_connections_and_restarts_empty() -> TestResult {
+    let fleet = start_fleet().await?;
+    fleet.load_all(1).await?;
+    fleet.admin(1, "kill").await?;
+    let health = format!("http://{}/engine/health", fleet.address(1));
     let mut refused = false;
     for _ in 0..100 {
         refused = reqwest::Client::new().get(&health).send().await.is_err_and(|error| error.is_connect());
@@ -217,7 +217,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert!(refused);
-    rig.admin(1, "start").await?;
+    fleet.admin(1, "start").await?;
     for _ in 0..100 {
         if let Ok(response) = reqwest::Client::new().get(&health).send().await {
             let body = response.text().await?;
