--- a/crates/bench/tests/servers_at_rest.rs
+++ b/crates/bench/tests/servers_at_rest.rs
@@ -4,7 +4,7 @@
 use dockwood_api::ResultCode;
 use dockwood_bench::fleet::RunningFleet;
 use dockwood_bench::topology::{Preset, Sizes, Topology, own_network};
-use dockwood_emulator::{LedgerRecord, REST_S, read_ledger};
+use dockwood_emulator::{BACKOFF_S, LedgerRecord, read_ledger};
 use reqwest::{Client, StatusCode};
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -147,7 +147,7 @@
     let caller = Caller::start(5).await?;
     let servers = caller.plain_servers();
     caller.change([&servers[0]], "rest").await?;
-    let until = Instant::now() + Duration::from_secs(REST_S);
+    let until = Instant::now() + Duration::from_secs(BACKOFF_S);
     while Instant::now() < until {
         let answer = caller.call().await?;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
@@ -170,12 +170,15 @@
     }
     let refused = caller.call().await?;
     assert_eq!(refused.code, Some(u64::from(ResultCode::ServersResting.number())), "{refused:?}");
-    assert!(refused.retry_after_s.is_some_and(|seconds| (1..=2 * REST_S).contains(&seconds)), "{refused:?}");
+    assert!(
+        refused.retry_after_s.is_some_and(|seconds| (1..=2 * BACKOFF_S).contains(&seconds)),
+        "{refused:?}"
+    );
     for server in &servers {
         assert!(caller.rejected(server)? <= MOST_REJECTED);
     }
     caller.change(&servers, "say-leaving").await?;
-    tokio::time::sleep(Duration::from_secs(2 * REST_S)).await;
+    tokio::time::sleep(Duration::from_secs(2 * BACKOFF_S)).await;
     let mut answered = 0;
     while caller.call().await?.status == StatusCode::OK {
         answered += 1;
@@ -196,7 +199,7 @@
     }
     let heads = caller.heads()?;
     caller.change(&heads, "rest").await?;
-    let until = Instant::now() + Duration::from_secs(REST_S) / 2;
+    let until = Instant::now() + Duration::from_secs(BACKOFF_S) / 2;
     let mut refused = None;
     while Instant::now() < until {
         let answer = caller.chat().await?;
@@ -206,13 +209,16 @@
     }
     let refused = refused.ok_or("nothing was asked")?;
     assert_eq!(refused.code, Some(u64::from(ResultCode::ServersResting.number())), "{refused:?}");
-    assert!(refused.retry_after_s.is_some_and(|seconds| (1..=2 * REST_S).contains(&seconds)), "{refused:?}");
+    assert!(
+        refused.retry_after_s.is_some_and(|seconds| (1..=2 * BACKOFF_S).contains(&seconds)),
+        "{refused:?}"
+    );
     for head in &heads {
         let rejected = caller.rejected(head)?;
         assert!(rejected <= MOST_REJECTED, "{head}: {rejected} requests within its rest");
     }
     caller.change(&heads, "serve").await?;
-    tokio::time::sleep(Duration::from_secs(2 * REST_S)).await;
+    tokio::time::sleep(Duration::from_secs(2 * BACKOFF_S)).await;
     let answer = caller.chat().await?;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
     caller.folder.passed()?;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -22,7 +22,7 @@
 pub use config::{ConfigError, EngineConfig, EngineModel, FleetConfig, ServiceConfig, ServiceServerConfig};
 pub use fleet::{Fleet, FleetHandle};
 pub use ledger::{LedgerRecord, LedgerWriter, read_ledger};
-pub use pushback::REST_S;
+pub use pushback::BACKOFF_S;
 pub use text::{FATAL_PROMPT, answer_length, expected_answer, prompt_digest, token_count, token_text};
 
 /// Returns the current time in milliseconds since the Unix epoch.
--- a/crates/emulator/src/pushback.rs
+++ b/crates/emulator/src/pushback.rs
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 
 /// `Retry-After` of a server that requests a back-off, in seconds.
-pub const REST_S: u64 = 2;
+pub const BACKOFF_S: u64 = 2;
 
 /// The pushback signals that a server sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// Serves requests without any signal.
     #[default]
     None,
-    /// Rejects requests and requests a back-off of [`REST_S`] seconds.
+    /// Rejects requests and requests a back-off of [`BACKOFF_S`] seconds.
     Backoff,
     /// Serves requests and announces in the responses that the server is about to shut down.
     AnnouncesShutdown,
@@ -58,7 +58,7 @@
             Response::builder()
                 .status(StatusCode::SERVICE_UNAVAILABLE)
                 .header(HEADER_NOT_RUN, "1")
-                .header(RETRY_AFTER, REST_S)
+                .header(RETRY_AFTER, BACKOFF_S)
                 .finish()
         })
     }
