--- a/crates/daemon/src/gateway/body.rs
+++ b/crates/daemon/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
@@ -6,12 +6,12 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// An answer that ends early. The connection is cut, so that it can't look complete.
+    /// A truncated response. The connection is closed, so that the response can't appear complete.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum CutShort {
-        /// The stream could not be continued.
+    pub enum Truncated {
+        /// The stream could not be resumed.
         Broken {
-            display("the answer is cut short")
+            display("the response is truncated")
         }
     }
 }
@@ -31,29 +31,29 @@
     }
 }
 
-/// The body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, CutShort>;
+/// Body of a response.
+pub type ResponseBody = UnsyncBoxBody<Bytes, Truncated>;
 
-/// A body that is known whole.
-pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+/// Creates a body from complete content.
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Reads a body whole.
-pub async fn read_whole(mut body: Incoming, limit: usize) -> Result<Bytes, BodyFault> {
+/// Reads a complete body of at most `limit` bytes.
+pub async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, BodyFault> {
     let expected = body.size_hint().lower() as usize;
     if expected > limit {
         return Err(BodyFault::TooLarge);
     }
-    let mut gathered = Vec::with_capacity(expected.min(limit));
+    let mut buffer = Vec::with_capacity(expected.min(limit));
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyFault::Broken)?;
         if let Some(data) = frame.data_ref() {
-            if gathered.len() + data.len() > limit {
+            if buffer.len() + data.len() > limit {
                 return Err(BodyFault::TooLarge);
             }
-            gathered.extend_from_slice(data);
+            buffer.extend_from_slice(data);
         }
     }
-    Ok(gathered.into())
+    Ok(buffer.into())
 }
--- a/crates/daemon/src/gateway/directory.rs
+++ b/crates/daemon/src/gateway/directory.rs
@@ -1,9 +1,9 @@
-//! Tells callers which entries to use.
+//! Directory: the entries that callers should use.
 
 use super::Gateway;
-use super::body::AnswerBody;
-use super::refusal::{bare, json, refuse};
+use super::body::ResponseBody;
 use super::regions::region_of;
+use super::responses::{empty_response, error_response, json_response};
 use crate::dialect::DirectoryQuery;
 use dockwood_api::ResultCode;
 use dockwood_routing::gateway::{Entry, entries_near};
@@ -12,28 +12,29 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Addresses in an answer, at most.
-const MOST_ADDRESSES: usize = 64;
+/// Maximum number of addresses in a response.
+const MAX_ADDRESSES: usize = 64;
 
-/// Answers a query.
-pub async fn answer(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Handles a query.
+pub async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let uri = request.uri();
     let query = gateway.dialect.directory_query(uri.path(), uri.query().unwrap_or_default());
-    let Some(query) = query else { return bare(StatusCode::NOT_FOUND) };
+    let Some(query) = query else { return empty_response(StatusCode::NOT_FOUND) };
     if !gateway.shared.holds_lease() {
-        // What is known here may be long past: it would send callers to entries that are cut off or gone.
-        return refuse(ResultCode::NoLease, "no configuration lease", None);
+        // Without a lease, the tables may be outdated and list entries that are partitioned or gone.
+        return error_response(ResultCode::NoLease, "no configuration lease", None);
     }
-    let addresses = entries_for(&gateway, &query);
+    let addresses = select_entries(&gateway, &query);
     if addresses.is_empty() {
-        return refuse(ResultCode::NoConfiguration, "no entry is known", None);
+        return error_response(ResultCode::NoConfiguration, "no entry is known", None);
     }
     let lifetime = gateway.shared.settings.gateway.as_ref().map(|gateway| gateway.answer_lifetime);
-    json(gateway.dialect.directory_answer(&addresses, lifetime.unwrap_or_default()))
+    json_response(gateway.dialect.directory_answer(&addresses, lifetime.unwrap_or_default()))
 }
 
-/// Live entries near the caller. What regions a route allows is not asked: which routes a caller uses is not told.
-fn entries_for(gateway: &Gateway, query: &DirectoryQuery) -> Vec<SocketAddr> {
+/// Returns live entries near the caller. The regions allowed by routes are not considered, because the query does not say
+/// which routes the caller uses.
+fn select_entries(gateway: &Gateway, query: &DirectoryQuery) -> Vec<SocketAddr> {
     let shared = &gateway.shared;
     let tables = shared.tables();
     let excludes_itself = shared.is_leaving();
@@ -46,7 +47,7 @@
         })
         .collect();
     let region = query.region.as_deref().or_else(|| region_of(shared, query.zone.as_deref()?));
-    let mut chosen = entries_near(&live, query.zone.as_deref(), region);
-    chosen.truncate(MOST_ADDRESSES);
-    chosen
+    let mut selected = entries_near(&live, query.zone.as_deref(), region);
+    selected.truncate(MAX_ADDRESSES);
+    selected
 }
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -1,6 +1,6 @@
-//! Which daemon assigns a request to a group. In a small fleet that is the control leader, which sees every request. In a
-//! large one each scope has a dispatcher of its own, found by rendezvous hashing over the live entries of its zone, so
-//! that all entries find the same one without asking; if it doesn't answer, the next in that order takes its place.
+//! Selects the daemon that assigns requests to groups. In a small fleet this is the control leader, which sees every request.
+//! In a large one, each scope has its own dispatcher, selected by rendezvous hashing over the live entries of its zone, so
+//! that all entries select the same one without communication. If it doesn't respond, the next one in that order is used.
 
 use crate::clock::monotonic_ms;
 use dockwood_api::digest::rendezvous_weight;
@@ -14,151 +14,162 @@
 
 use crate::lock::lock;
 
-/// Daemons that may dispatch a scope: the first that answers does.
+/// Number of candidates for the dispatcher of a scope, or the limiter of a server: the first that responds is used.
 const CANDIDATES: usize = 3;
-/// A dispatcher that has not answered in time is not asked for this long, in milliseconds: it would hold up every request.
-const REST_MS: u64 = 300;
+/// A dispatcher that has not responded in time is not called for this long, in milliseconds, because it would delay every
+/// request.
+const UNRESPONSIVE_MS: u64 = 300;
 
-/// Who dispatches.
+/// Which daemons dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dispatch {
     /// The control leader, for all groups.
     Leader,
-    /// A dispatcher for each scope.
+    /// One dispatcher per scope.
     Scopes,
 }
 
-/// What follows from the daemons' rows.
+/// Data derived from the daemons' rows.
 #[derive(Debug, Default)]
-struct Fleet {
-    census: EntrySummary,
-    /// Dispatchers of the scopes that were asked for.
-    ranked: HashMap<DispatchScope, Arc<[SocketAddr]>>,
-    /// Who shares out the limits of servers, by server id.
+struct FleetSummary {
+    summary: EntrySummary,
+    /// Candidates for the dispatcher of each scope that was looked up, in order of preference.
+    ranked_dispatchers: HashMap<DispatchScope, Arc<[SocketAddr]>>,
+    /// Candidates for the limiter of each server that was looked up, by server id.
     turn_givers: HashMap<String, Arc<[SocketAddr]>>,
 }
 
-impl Fleet {
-    fn of(tables: &Tables) -> Fleet {
-        Fleet { census: EntrySummary::of(tables), ranked: HashMap::new(), turn_givers: HashMap::new() }
+impl FleetSummary {
+    fn of(tables: &Tables) -> FleetSummary {
+        FleetSummary {
+            summary: EntrySummary::of(tables),
+            ranked_dispatchers: HashMap::new(),
+            turn_givers: HashMap::new(),
+        }
     }
 }
 
-/// Finds dispatchers, and remembers which of them have not answered.
+/// Selects dispatchers and limiters, and tracks which of them are unresponsive.
 #[derive(Debug)]
 pub struct Dispatchers {
     leader_dispatches_up_to: usize,
-    fleet: Mutex<DaemonDerived<Fleet>>,
-    resting: Mutex<HashMap<SocketAddr, u64>>,
+    fleet: Mutex<DaemonDerived<FleetSummary>>,
+    unresponsive: Mutex<HashMap<SocketAddr, u64>>,
 }
 
 impl Dispatchers {
-    /// The leader dispatches in fleets of so many entries.
+    /// Creates the state. The leader dispatches in fleets of up to `leader_dispatches_up_to` entries.
     pub fn new(leader_dispatches_up_to: usize) -> Self {
-        Dispatchers { leader_dispatches_up_to, fleet: Mutex::default(), resting: Mutex::default() }
+        Dispatchers { leader_dispatches_up_to, fleet: Mutex::default(), unresponsive: Mutex::default() }
     }
 
-    /// Entries of the fleet, whether or not they were heard lately.
+    /// Returns the number of entries of the fleet, including those that are not live.
     pub fn entries(&self, tables: &Tables) -> u32 {
-        lock(&self.fleet).get(tables, Fleet::of).census.entries
+        lock(&self.fleet).get(tables, FleetSummary::of).summary.entries
     }
 
-    /// Who dispatches in this fleet.
+    /// Returns which daemons dispatch in this fleet.
     pub fn mode(&self, tables: &Tables) -> Dispatch {
         let is_large = self.entries(tables) as usize > self.leader_dispatches_up_to;
         if is_large { Dispatch::Scopes } else { Dispatch::Leader }
     }
 
-    /// The dispatcher of a scope, by its peer address; `None` if none is known, or none answers lately.
+    /// Returns the peer address of the dispatcher of a scope; `None` if there is none, or all candidates are unresponsive.
     pub fn of_scope(&self, tables: &Tables, scope: &DispatchScope) -> Option<SocketAddr> {
-        let ranked = self.ranked(tables, scope);
-        ranked.iter().copied().find(|address| self.may_ask(*address))
+        let ranked_dispatchers = self.ranked_dispatchers(tables, scope);
+        ranked_dispatchers.iter().copied().find(|address| self.may_ask(*address))
     }
 
-    /// Whether a dispatcher may give requests to cold heads: only so many have a part of what a cold server may get.
-    /// The others take over for some entries at a time, while the first ones still work for the rest.
+    /// Returns whether a dispatcher may assign requests to cold heads: only [`SENDERS_AT_ONCE`] dispatchers have a share of a
+    /// cold server's rate. The other candidates may serve some of the entries while the first ones still serve the rest.
     pub fn may_assign_cold(&self, tables: &Tables, scope: &DispatchScope, dispatcher: SocketAddr) -> bool {
-        let ranked = self.ranked(tables, scope);
-        ranked.iter().take(SENDERS_AT_ONCE as usize).any(|address| *address == dispatcher)
+        let ranked_dispatchers = self.ranked_dispatchers(tables, scope);
+        ranked_dispatchers.iter().take(SENDERS_AT_ONCE as usize).any(|address| *address == dispatcher)
     }
 
-    /// Daemons that may share out the limit that a server named, the first choice first: the first that answers does.
-    /// `zone` is the server's, where it is known.
+    /// Returns the candidates for the limiter of a server, in order of preference: the first that responds is used. `zone` is
+    /// the server's zone, if known.
     pub fn turn_givers(&self, tables: &Tables, server: &str, zone: Option<&str>) -> Arc<[SocketAddr]> {
         let mut fleet = lock(&self.fleet);
-        let Fleet { census, turn_givers, .. } = fleet.get(tables, Fleet::of);
+        let FleetSummary { summary, turn_givers, .. } = fleet.get(tables, FleetSummary::of);
         match turn_givers.get(server) {
-            Some(givers) => givers.clone(),
+            Some(limiters) => limiters.clone(),
             None => {
-                let givers: Arc<[SocketAddr]> = rank_turn_givers(tables, census, server, zone).into();
-                turn_givers.entry(server.to_string()).or_insert(givers).clone()
+                let limiters: Arc<[SocketAddr]> = limiter_candidates(tables, summary, server, zone).into();
+                turn_givers.entry(server.to_string()).or_insert(limiters).clone()
             }
         }
     }
 
-    /// Whether a daemon has not failed to answer lately.
+    /// Returns whether a daemon has not failed to respond recently.
     pub fn may_ask(&self, address: SocketAddr) -> bool {
-        lock(&self.resting).get(&address).is_none_or(|until| monotonic_ms() >= *until)
+        lock(&self.unresponsive).get(&address).is_none_or(|until| monotonic_ms() >= *until)
     }
 
-    /// A daemon has not answered in time.
+    /// Records that a daemon has not responded in time.
     pub fn rest(&self, address: SocketAddr) {
-        lock(&self.resting).insert(address, monotonic_ms() + REST_MS);
+        lock(&self.unresponsive).insert(address, monotonic_ms() + UNRESPONSIVE_MS);
     }
 
-    /// Whether an entry sees the servers by another machine's network than members of the control group do.
+    /// Returns whether an entry runs on another host than all members of the control group, and thus reaches the servers over
+    /// another network path.
     pub fn is_witness(&self, tables: &Tables, entry: &str) -> bool {
-        lock(&self.fleet).get(tables, Fleet::of).census.is_witness(tables, entry)
+        lock(&self.fleet).get(tables, FleetSummary::of).summary.is_witness(tables, entry)
     }
 
-    fn ranked(&self, tables: &Tables, scope: &DispatchScope) -> Arc<[SocketAddr]> {
+    fn ranked_dispatchers(&self, tables: &Tables, scope: &DispatchScope) -> Arc<[SocketAddr]> {
         let mut fleet = lock(&self.fleet);
-        let Fleet { census, ranked, .. } = fleet.get(tables, Fleet::of);
-        match ranked.get(scope) {
-            Some(ranked) => ranked.clone(),
-            None => ranked.entry(scope.clone()).or_insert(rank(tables, census, scope).into()).clone(),
+        let FleetSummary { summary, ranked_dispatchers, .. } = fleet.get(tables, FleetSummary::of);
+        match ranked_dispatchers.get(scope) {
+            Some(ranked_dispatchers) => ranked_dispatchers.clone(),
+            None => ranked_dispatchers
+                .entry(scope.clone())
+                .or_insert(dispatcher_candidates(tables, summary, scope).into())
+                .clone(),
         }
     }
 }
 
-/// Daemons that may dispatch a scope, the first choice first: live entries of its zone on machines that no member of the
-/// control group needs.
-fn rank(tables: &Tables, census: &EntrySummary, scope: &DispatchScope) -> Vec<SocketAddr> {
+/// Returns the candidates for the dispatcher of a scope, in order of preference: live entries of its zone on hosts without
+/// a member of the control group.
+fn dispatcher_candidates(tables: &Tables, summary: &EntrySummary, scope: &DispatchScope) -> Vec<SocketAddr> {
     let key = format!("{}/{}/{}", scope.zone, scope.service, scope.model);
-    let suits = |daemon: &&Arc<DaemonRow>| {
+    let is_eligible = |daemon: &&Arc<DaemonRow>| {
         let record = &daemon.record;
-        let is_near = record.frontend.is_some() && record.zone == scope.zone;
-        is_near && census.is_on_separate_host(daemon)
+        let is_in_zone = record.frontend.is_some() && record.zone == scope.zone;
+        is_in_zone && summary.is_on_separate_host(daemon)
     };
-    first_by_weight(&key, tables.reachable_daemons().filter(suits))
+    top_by_weight(&key, tables.reachable_daemons().filter(is_eligible))
 }
 
-/// Daemons that may share out a server's limit, the first choice first: entries near it on machines that no member of the
-/// control group needs, else any entries, else any daemons.
-fn rank_turn_givers(
+/// Returns the candidates for the limiter of a server, in order of preference: entries in its zone on hosts without a
+/// member of the control group; if there are none, any entries; if there are none, any daemons.
+fn limiter_candidates(
     tables: &Tables,
-    census: &EntrySummary,
+    summary: &EntrySummary,
     server: &str,
     zone: Option<&str>,
 ) -> Vec<SocketAddr> {
     let is_entry = |daemon: &&Arc<DaemonRow>| daemon.record.frontend.is_some();
-    let is_near = |daemon: &&Arc<DaemonRow>| zone.is_some_and(|zone| daemon.record.zone == zone);
-    let suits =
-        |daemon: &&Arc<DaemonRow>| is_entry(daemon) && is_near(daemon) && census.is_on_separate_host(daemon);
-    let near = first_by_weight(server, tables.reachable_daemons().filter(suits));
-    if !near.is_empty() {
-        return near;
+    let is_in_zone = |daemon: &&Arc<DaemonRow>| zone.is_some_and(|zone| daemon.record.zone == zone);
+    let is_eligible = |daemon: &&Arc<DaemonRow>| {
+        is_entry(daemon) && is_in_zone(daemon) && summary.is_on_separate_host(daemon)
+    };
+    let eligible = top_by_weight(server, tables.reachable_daemons().filter(is_eligible));
+    if !eligible.is_empty() {
+        return eligible;
     }
-    let entries = first_by_weight(server, tables.reachable_daemons().filter(is_entry));
+    let entries = top_by_weight(server, tables.reachable_daemons().filter(is_entry));
     if !entries.is_empty() {
         return entries;
     }
-    first_by_weight(server, tables.reachable_daemons())
+    top_by_weight(server, tables.reachable_daemons())
 }
 
-/// The first few of these daemons by rendezvous hashing: all that know the same daemons find the same ones.
-fn first_by_weight<'a>(key: &str, daemons: impl Iterator<Item = &'a Arc<DaemonRow>>) -> Vec<SocketAddr> {
-    let mut suited: Vec<&Arc<DaemonRow>> = daemons.collect();
-    suited.sort_by_cached_key(|daemon| std::cmp::Reverse(rendezvous_weight(key, &daemon.record.name)));
-    suited.iter().take(CANDIDATES).map(|daemon| daemon.record.peer).collect()
+/// Returns the first [`CANDIDATES`] of the daemons by rendezvous hashing, so that all daemons with the same tables select the
+/// same ones.
+fn top_by_weight<'a>(key: &str, daemons: impl Iterator<Item = &'a Arc<DaemonRow>>) -> Vec<SocketAddr> {
+    let mut ranked: Vec<&Arc<DaemonRow>> = daemons.collect();
+    ranked.sort_by_cached_key(|daemon| std::cmp::Reverse(rendezvous_weight(key, &daemon.record.name)));
+    ranked.iter().take(CANDIDATES).map(|daemon| daemon.record.peer).collect()
 }
--- a/crates/daemon/src/gateway/evacuation.rs
+++ b/crates/daemon/src/gateway/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: takes the operator's calls, and keeps requests away from the zones' servers.
+//! Evacuated zones: handles the operator's calls, and keeps requests away from servers in these zones.
 
 use super::Gateway;
 use super::loads::PlaceQuery;
@@ -12,12 +12,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest name of a zone that the settings don't declare, in bytes: cloud providers' names are a third of that.
-const MOST_ZONE_BYTES: usize = 64;
+/// Maximum length of a zone name that the settings don't declare, in bytes. Names used by cloud providers are a third as
+/// long.
+const MAX_ZONE_BYTES: usize = 64;
 
-/// Evacuates a zone, or ends its evacuation; acknowledged once it is committed. The call is decided on the zone's
-/// generation as it was committed at a moment after the call arrived, and it is never decided anew: its caller may have
-/// given it up and have withdrawn it meanwhile, and a caller that still waits repeats it.
+/// Evacuates a zone, or ends its evacuation; returns once the change is committed. The command carries the zone's generation
+/// as committed at some time after the call arrived, and is never retried with a newer one: in the meantime, the caller may
+/// have timed out and withdrawn the evacuation. A caller that is still waiting repeats the call.
 pub async fn set_evacuation(
     shared: &Shared,
     zone: String,
@@ -26,31 +27,31 @@
 ) -> Result<(), ApiError> {
     check_zone(&zone, shared.settings.gateway.as_ref())?;
     let deadline = Instant::now() + limit;
-    let left = || deadline.saturating_duration_since(Instant::now());
-    let revision = read_revision(shared, left()).await?;
-    if !shared.wait_for_revision(revision, left()).await {
+    let remaining = || deadline.saturating_duration_since(Instant::now());
+    let revision = read_revision(shared, remaining()).await?;
+    if !shared.wait_for_revision(revision, remaining()).await {
         return Err(ApiError::new(ResultCode::ControlTimeout, "the newest revision has not arrived here"));
     }
     let generation = shared.tables().gateway.evacuation_generation(&zone);
-    // A process that was stopped meanwhile sees changes that came after its caller had gone on.
-    if left().is_zero() {
+    // If the process was suspended in the meantime, its tables may contain changes made after the caller timed out.
+    if remaining().is_zero() {
         return Err(ApiError::new(ResultCode::ControlTimeout, "the call's time has passed"));
     }
     let command = GatewayCommand::SetEvacuation { zone, evacuated, generation };
-    match submit(shared, CommandBody::Gateway(command), left()).await? {
+    match submit(shared, CommandBody::Gateway(command), remaining()).await? {
         (_, Outcome::Refused(error)) => Err(error),
         _ => Ok(()),
     }
 }
 
-/// Whether a name is a zone's: one that the settings declare, or any that looks like one where they declare none.
+/// Checks the name of a zone: it must be declared in the settings, or be well-formed if the settings declare no zones.
 fn check_zone(zone: &str, settings: Option<&GatewaySettings>) -> Result<(), ApiError> {
     let declared = settings.map(|settings| &settings.zone_regions);
     if declared.is_some_and(|zones| zones.contains_key(zone)) {
         return Ok(());
     }
-    let is_usual = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    if zone.is_empty() || zone.len() > MOST_ZONE_BYTES || !zone.bytes().all(is_usual) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    if zone.is_empty() || zone.len() > MAX_ZONE_BYTES || !zone.bytes().all(is_allowed) {
         let code = ResultCode::ZoneMalformed;
         return Err(ApiError::new(code, code.meaning()));
     }
@@ -60,37 +61,37 @@
     Ok(())
 }
 
-/// Whether a request may still be written to a server of a zone. Its server was chosen before the connection was made,
-/// and the zone may have been evacuated meanwhile.
+/// Returns whether a request may still be written to a server in a zone. The server was selected before the connection was
+/// established, and the zone may have been evacuated in the meantime.
 pub fn may_write(gateway: &Gateway, zone: &str) -> bool {
     let is_evacuated = gateway.shared.tables().gateway.is_evacuated(zone);
     if is_evacuated {
         gateway.shared.metrics.kept_from_evacuated_zones.with_label_values(&["stopped"]).inc();
     }
-    // A process that was stopped while it connected holds old tables, and no lease.
+    // A process that was suspended while it connected has outdated tables, but its lease has expired.
     !is_evacuated && gateway.shared.holds_lease()
 }
 
-/// Why no group takes a request.
+/// Returns the result code for a request that no group accepts.
 pub fn no_group_code(tables: &GatewayTables, query: PlaceQuery<'_>) -> ResultCode {
     let open = tables.groups.values().filter(|group| {
-        let is_asked_for = group.service == query.service && group.model == query.model;
-        is_asked_for && group.phase == GroupPhase::Open && query.zones.contains(&group.zone)
+        let is_requested_model = group.service == query.service && group.model == query.model;
+        is_requested_model && group.phase == GroupPhase::Open && query.zones.contains(&group.zone)
     });
-    code_of(tables, open.map(|group| group.zone.as_str()))
+    code_for_zones(tables, open.map(|group| group.zone.as_str()))
 }
 
-/// Why no server of a plain service takes a request that may run in these zones.
+/// Returns the result code for a request to a plain service that no server in these zones accepts.
 pub fn no_server_code(tables: &GatewayTables, service: &str, zones: &AllowedZones) -> ResultCode {
     let ready = tables.instances.values().filter(|row| {
         row.service == service && row.state == InstanceState::Ready && zones.contains(&row.zone)
     });
-    code_of(tables, ready.map(|row| row.zone.as_str()))
+    code_for_zones(tables, ready.map(|row| row.zone.as_str()))
 }
 
-/// What is told where none of the servers that stand in these zones takes a request.
-fn code_of<'a>(tables: &GatewayTables, zones: impl Iterator<Item = &'a str>) -> ResultCode {
+/// Returns the result code if none of the servers accepts a request, given the zones of these servers.
+fn code_for_zones<'a>(tables: &GatewayTables, zones: impl Iterator<Item = &'a str>) -> ResultCode {
     let mut zones = zones.peekable();
-    let are_evacuated = zones.peek().is_some() && zones.all(|zone| tables.is_evacuated(zone));
-    if are_evacuated { ResultCode::ZoneEvacuated } else { ResultCode::NoServer }
+    let all_evacuated = zones.peek().is_some() && zones.all(|zone| tables.is_evacuated(zone));
+    if all_evacuated { ResultCode::ZoneEvacuated } else { ResultCode::NoServer }
 }
--- a/crates/daemon/src/gateway/frontend.rs
+++ b/crates/daemon/src/gateway/frontend.rs
@@ -1,11 +1,11 @@
-//! Takes callers' connections.
+//! Serves callers' connections.
 //!
-//! hyper is used directly: `poem` doesn't let a connection be told to end after its answer, which a planned stop needs.
+//! hyper is used directly: `poem` can't close a single connection after its current response, which a planned stop requires.
 
-use super::account::{About, RequestAccount};
-use super::body::AnswerBody;
-use super::receive::{attempt_of, receive};
-use super::serving::ACCEPT_PAUSE;
+use super::body::ResponseBody;
+use super::http_server::ACCEPT_PAUSE;
+use super::receive::{attempt_id, receive};
+use super::request_log::{RequestInfo, RequestLog};
 use super::{Gateway, plain, stream};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -18,12 +18,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Added to the limits' idle time: a caller that keeps to it never meets a closing connection.
+/// Margin added to the configured idle timeout, so that a caller that observes the timeout never uses a connection that is
+/// being closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Time between two looks at connections to servers that rest too long.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which expired idle connections to servers are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Accepts until a planned stop closes connections.
+/// Accepts connections until a planned stop closes them.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
     tokio::spawn(sweep(gateway.clone()));
     let mut stopping = gateway.stopping.subscribe();
@@ -43,8 +44,8 @@
 
 async fn sweep(gateway: Arc<Gateway>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
-        gateway.pool.sweep();
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        gateway.pool.close_expired();
     }
 }
 
@@ -54,7 +55,7 @@
     let mut stopping = gateway.stopping.subscribe();
     let service = service_fn(move |request| {
         let gateway = gateway.clone();
-        async move { Ok::<_, Infallible>(answer(gateway, request).await) }
+        async move { Ok::<_, Infallible>(handle(gateway, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -63,37 +64,37 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // A caller that breaks off concerns nobody else.
+        // The error of a closed connection affects only its caller.
         _ = connection.as_mut() => return,
         _ = stopping.wait_for(|stopping| *stopping) => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
 }
 
-/// Smallest read buffer that the library takes.
+/// Minimum read buffer size that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 16 << 10;
 
-async fn answer(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let in_flight = gateway.shared.begin_request();
-    let mut account = RequestAccount::new(gateway.clone());
-    let attempt = attempt_of(&gateway, request.headers());
-    account.describe(About { attempt, ..About::default() });
+    let mut request_log = RequestLog::new(gateway.clone());
+    let attempt = attempt_id(&gateway, request.headers());
+    request_log.set_info(RequestInfo { attempt, ..RequestInfo::default() });
     let mut response = match receive(&gateway, request).await {
         Ok(received) => {
-            gateway.count_request(&received.service.name);
-            account.describe(received.about());
+            gateway.record_request(&received.service.name);
+            request_log.set_info(received.info());
             if received.is_stream() || received.service.engine.is_some() {
-                stream::answer(&gateway, received, account, in_flight).await
+                stream::handle(&gateway, received, request_log, in_flight).await
             } else {
-                plain::answer(&gateway, &received, account).await
+                plain::handle(&gateway, &received, request_log).await
             }
         }
         Err(refusal) => {
-            account.end(refusal.code);
-            refusal.answer()
+            request_log.end(refusal.code);
+            refusal.into_response()
         }
     };
-    // Callers find the other entries by the directory.
+    // The callers find other entries in the directory.
     if gateway.shared.is_leaving() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/daemon/src/gateway/headers.rs
+++ b/crates/daemon/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers cross the gateway, in either direction.
+//! Headers that the gateway forwards, in both directions.
 
 use crate::dialect::HeaderNames;
 use hyper::header::{
@@ -6,27 +6,27 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
-const MORE_CONNECTION_HEADERS: [&str; 4] =
+/// Hop-by-hop headers, which apply to one connection only.
+const HOP_BY_HOP_HEADERS: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+const MORE_HOP_BY_HOP_HEADERS: [&str; 4] =
     ["keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization"];
 
-/// What the gateway itself tells a server of a request.
+/// Headers that the gateway itself adds to a request for a server.
 #[derive(Clone, Debug)]
 pub struct ServerHeaders<'a> {
-    /// Milliseconds left.
+    /// Remaining time, in milliseconds.
     pub deadline_ms: u64,
-    /// The instance that is meant.
+    /// Instance that the request is addressed to.
     pub instance: &'a str,
-    /// The tenant, if the request has one.
+    /// Tenant of the request, if any.
     pub tenant: Option<&'a str>,
-    /// The rank for the server's queue.
+    /// Rank in the server's queue.
     pub rank: Option<u32>,
-    /// The last event that the caller has by now.
+    /// Id of the last event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// Headers without those that concern the connection they came on.
+/// Returns the headers without hop-by-hop headers.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(headers.len());
     let named: Vec<String> = headers
@@ -36,19 +36,19 @@
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
     for (name, value) in headers {
-        let concerns_connection = CONNECTION_HEADERS.contains(name)
-            || MORE_CONNECTION_HEADERS.contains(&name.as_str())
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(name)
+            || MORE_HOP_BY_HOP_HEADERS.contains(&name.as_str())
             || named.iter().any(|other| other == name.as_str());
-        if !concerns_connection {
+        if !is_hop_by_hop {
             kept.append(name.clone(), value.clone());
         }
     }
     kept
 }
 
-/// Headers of a caller's request, as every send starts from them: without the key, and without what only the
-/// gateway may say.
-pub fn from_caller(headers: &HeaderMap, names: &HeaderNames, drop_key: bool) -> HeaderMap {
+/// Returns the headers of a caller's request that are forwarded with every send: without the API key if `drop_key` is set,
+/// and without those that only the gateway may set.
+pub fn forwarded_headers(headers: &HeaderMap, names: &HeaderNames, drop_key: bool) -> HeaderMap {
     let mut kept = end_to_end(headers);
     kept.remove(CONTENT_LENGTH);
     if drop_key {
@@ -60,17 +60,17 @@
     kept
 }
 
-/// Adds what the gateway tells a server.
-pub fn add_for_server(headers: &mut HeaderMap, names: &HeaderNames, told: &ServerHeaders<'_>) {
-    set(headers, names.deadline_ms, &told.deadline_ms.to_string());
-    set(headers, names.expected_instance, told.instance);
-    if let Some(tenant) = told.tenant {
+/// Adds the gateway's own headers for a server.
+pub fn add_server_headers(headers: &mut HeaderMap, names: &HeaderNames, values: &ServerHeaders<'_>) {
+    set(headers, names.deadline_ms, &values.deadline_ms.to_string());
+    set(headers, names.expected_instance, values.instance);
+    if let Some(tenant) = values.tenant {
         set(headers, names.tenant, tenant);
     }
-    if let Some(rank) = told.rank {
+    if let Some(rank) = values.rank {
         set(headers, names.rank, &rank.to_string());
     }
-    if let Some(last_event) = told.last_event {
+    if let Some(last_event) = values.last_event {
         set(headers, names.last_event, &last_event.to_string());
     }
 }
--- a/crates/daemon/src/gateway/load_exchange.rs
+++ b/crates/daemon/src/gateway/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Tells of this entry's load, and learns of the others': the control leader, or in a large fleet the dispatcher of each
-//! scope that has requests of this entry's.
+//! Exchanges load reports with the control leader, or in a large fleet with the dispatcher of each scope in which this entry
+//! has requests: reports this entry's load, and receives that of the other entries.
 
 use super::Gateway;
 use super::dispatchers::Dispatch;
@@ -11,45 +11,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two exchanges with the leader while requests are in flight.
-const BUSY_EVERY: Duration = Duration::from_millis(60);
-/// Time between two exchanges with the leader otherwise.
-const IDLE_EVERY: Duration = Duration::from_millis(600);
-/// Time between two exchanges with a dispatcher while nothing begins or ends: it learns of that at once, and only needs to
-/// see that the streams go on.
-const STEADY_EVERY_MS: u64 = 300;
-/// Time between two looks at which dispatchers have to be told, unless a request ends.
-const SCOPES_EVERY: Duration = Duration::from_millis(150);
-/// Least time between two exchanges, however urgent.
-const LEAST_PAUSE: Duration = Duration::from_millis(15);
-/// How long the leader or a dispatcher may take.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval of the exchanges with the leader while requests are in flight.
+const BUSY_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval of the exchanges with the leader otherwise.
+const IDLE_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval of the exchanges with a dispatcher while no request begins or ends, in milliseconds. Changes are reported
+/// immediately; the exchanges in between only show that the streams continue.
+const STEADY_INTERVAL_MS: u64 = 300;
+/// Interval at which outdated reports to dispatchers are looked for, unless a request ends.
+const SCOPES_INTERVAL: Duration = Duration::from_millis(150);
+/// Minimum pause between two exchanges, even urgent ones.
+const MIN_PAUSE: Duration = Duration::from_millis(15);
+/// Time limit for a call to the leader or a dispatcher.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a dispatcher was last told.
+/// The last report to a dispatcher.
 #[derive(Clone, Debug)]
-struct Told {
+struct LastReport {
     at: u64,
-    /// Requests in flight by group epoch, as they stood in the report itself.
+    /// Requests in flight by group epoch, as stated in the report.
     in_flight: Vec<(u64, u32)>,
 }
 
-impl Told {
-    fn by(report: &LoadReport, at: u64) -> Told {
+impl LastReport {
+    fn of(report: &LoadReport, at: u64) -> LastReport {
         let busy = report.groups.iter().filter(|load| load.in_flight > 0);
-        Told { at, in_flight: busy.map(|load| (load.epoch, load.in_flight)).collect() }
+        LastReport { at, in_flight: busy.map(|load| (load.epoch, load.in_flight)).collect() }
     }
 
-    /// Whether a dispatcher that was told this has to be told again.
+    /// Returns whether the dispatcher needs a new report.
     fn is_outdated(&self, now: u64, load: &ScopeLoad) -> bool {
-        load.stands_still || load.in_flight != self.in_flight || now >= self.at + STEADY_EVERY_MS
+        load.is_stalled || load.in_flight != self.in_flight || now >= self.at + STEADY_INTERVAL_MS
     }
 }
 
-/// Exchanges for ever. What goes wrong is mended by the next exchange.
+/// Runs exchanges indefinitely. After a failed exchange, the next one reports the current state.
 pub async fn run(gateway: Arc<Gateway>) {
     let shared = gateway.shared.clone();
-    let mut pause = IDLE_EVERY;
-    let mut told = BTreeMap::new();
+    let mut pause = IDLE_INTERVAL;
+    let mut last_reports = BTreeMap::new();
     loop {
         let mode = shared.dispatchers.mode(&shared.tables());
         tokio::select! {
@@ -58,59 +58,59 @@
             () = gateway.loads.ended.notified(), if mode == Dispatch::Scopes => {}
         }
         match mode {
-            Dispatch::Leader => pause = tell_leader(&gateway).await,
+            Dispatch::Leader => pause = report_to_leader(&gateway).await,
             Dispatch::Scopes => {
-                pause = SCOPES_EVERY;
-                tell_dispatchers(&gateway, &mut told);
+                pause = SCOPES_INTERVAL;
+                report_to_dispatchers(&gateway, &mut last_reports);
             }
         }
-        tokio::time::sleep(LEAST_PAUSE).await;
+        tokio::time::sleep(MIN_PAUSE).await;
     }
 }
 
-/// Exchanges loads with the leader; returns the pause until the next time.
-async fn tell_leader(gateway: &Gateway) -> Duration {
+/// Exchanges loads with the leader; returns the pause until the next exchange.
+async fn report_to_leader(gateway: &Gateway) -> Duration {
     let shared = &gateway.shared;
-    let Some(leader) = shared.leader() else { return IDLE_EVERY };
+    let Some(leader) = shared.leader() else { return IDLE_INTERVAL };
     let report = gateway.loads.report(&shared.settings.name, &shared.pushback);
     let is_busy = shared.in_flight() > 0
         || report.groups.iter().any(GroupLoad::is_at_work)
         || !report.models.is_empty();
     let call = |client: PeerClient, context| async move { client.exchange_load(context, report).await };
-    if let Ok(Some(digest)) = shared.peers.call(leader, ANSWER_TIMEOUT, call).await {
-        gateway.loads.take_digest(&digest);
+    if let Ok(Some(digest)) = shared.peers.call(leader, CALL_TIMEOUT, call).await {
+        gateway.loads.apply_digest(&digest);
     }
-    if is_busy { BUSY_EVERY } else { IDLE_EVERY }
+    if is_busy { BUSY_INTERVAL } else { IDLE_INTERVAL }
 }
 
-/// Tells each dispatcher to whom something has changed.
-fn tell_dispatchers(gateway: &Arc<Gateway>, told: &mut BTreeMap<DispatchScope, Told>) {
+/// Sends a new report to each dispatcher whose last report is outdated.
+fn report_to_dispatchers(gateway: &Arc<Gateway>, last_reports: &mut BTreeMap<DispatchScope, LastReport>) {
     let now = monotonic_ms();
     let settings = &gateway.shared.settings;
     let pushback = &gateway.shared.pushback;
     let mut loads = gateway.loads.scopes(&settings.zone, pushback);
-    // A scope in which the last request has ended is told so, once.
-    for (scope, _) in told.iter().filter(|(_, last)| !last.in_flight.is_empty()) {
+    // After the last request of a scope has ended, one more report says so.
+    for (scope, _) in last_reports.iter().filter(|(_, last)| !last.in_flight.is_empty()) {
         loads.entry(scope.clone()).or_default();
     }
-    told.retain(|scope, _| loads.contains_key(scope));
+    last_reports.retain(|scope, _| loads.contains_key(scope));
     for (scope, load) in loads {
-        if told.get(&scope).is_none_or(|last| last.is_outdated(now, &load)) {
-            // What it says is remembered, not what was seen a moment before: a request that begins in between and ends
-            // before the next look would be told of and never taken back.
+        if last_reports.get(&scope).is_none_or(|last| last.is_outdated(now, &load)) {
+            // The state in the report is stored, not the state read before: a request that begins in between and ends before
+            // the next check would otherwise be reported and never retracted.
             let report = gateway.loads.report_scope(&settings.name, &settings.zone, &scope, pushback);
-            told.insert(scope.clone(), Told::by(&report, now));
-            tokio::spawn(tell_dispatcher(gateway.clone(), scope, report));
+            last_reports.insert(scope.clone(), LastReport::of(&report, now));
+            tokio::spawn(report_to_dispatcher(gateway.clone(), scope, report));
         }
     }
 }
 
-async fn tell_dispatcher(gateway: Arc<Gateway>, scope: DispatchScope, report: LoadReport) {
+async fn report_to_dispatcher(gateway: Arc<Gateway>, scope: DispatchScope, report: LoadReport) {
     let shared = &gateway.shared;
     let Some(dispatcher) = shared.dispatchers.of_scope(&shared.tables(), &scope) else { return };
     let call = |client: PeerClient, context| async move { client.exchange_load(context, report).await };
-    match shared.peers.call(dispatcher, ANSWER_TIMEOUT, call).await {
-        Ok(Some(digest)) => gateway.loads.take_scope_digest(&scope, &digest),
+    match shared.peers.call(dispatcher, CALL_TIMEOUT, call).await {
+        Ok(Some(digest)) => gateway.loads.apply_scope_digest(&scope, &digest),
         _ => {
             shared.metrics.peer_failures.inc();
             shared.dispatchers.rest(dispatcher);
--- a/crates/daemon/src/gateway/loads/group_state.rs
+++ b/crates/daemon/src/gateway/loads/group_state.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of one group.
+//! This entry's state of one group.
 
 use super::PlaceQuery;
 use dockwood_api::gateway::EventPace;
@@ -7,92 +7,92 @@
 use dockwood_state::GroupRow;
 use std::sync::Arc;
 
-/// What may be held at a group that the leader has granted nothing for yet.
+/// Number of places at a group for which the leader has not granted any yet.
 const FIRST_ALLOWANCE: u32 = 1;
 
-/// One group that is open, or finishes what it has.
+/// A group that is open or completes its remaining requests.
 #[derive(Debug)]
 pub(super) struct GroupState {
-    /// Its row, as it was published last.
+    /// Its row in the tables that were published last.
     pub row: Arc<GroupRow>,
-    /// It is open, and its zone is not evacuated.
-    pub takes_new: bool,
-    /// Requests that it may run at once.
+    /// Whether it is open and its zone is not evacuated.
+    pub accepts_requests: bool,
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Requests of this entry.
+    /// Requests in flight from this entry.
     pub in_flight: u32,
-    /// Requests of the other entries, as the leader or a dispatcher told last.
+    /// Requests in flight from the other entries, as last reported by the leader or a dispatcher.
     pub others_in_flight: u32,
-    /// Requests in flight when the leader was last told.
+    /// Requests in flight in the last report.
     pub reported_in_flight: u32,
-    /// Requests that this entry may hold.
+    /// Maximum number of requests from this entry.
     pub allowance: u32,
-    /// This entry avoids it until then: it stood still, or refused a connection.
-    pub suspected_until: Millis,
-    /// Other entries found it to stand still.
+    /// This entry avoids it until this time, because it stalled or refused a connection.
+    pub avoided_until: Millis,
+    /// Whether other entries suspect it to be stalled.
     pub suspected_by_others: bool,
-    /// Its head counts as cold until then, also if it says that it is warm.
+    /// Its head counts as cold until this time, even if it reports that it is warm.
     cold_until: Millis,
-    /// It has shown an event since the leader was last told.
+    /// Whether it has sent an event since the last report.
     pub progressed: bool,
-    /// Its head has refused a connection since the leader was last told.
+    /// Whether its head has refused a connection since the last report.
     pub refused: bool,
-    /// When it last showed an event.
-    pub last_progress: Millis,
-    /// An event that takes no longer came in time, in milliseconds.
+    /// When it last sent an event.
+    pub last_event_at: Millis,
+    /// Maximum interval between two events that counts as timely, in milliseconds.
     pub timely_ms: f64,
-    /// Events since the leader was last told.
+    /// Events since the last report.
     pub pace: EventPace,
 }
 
 impl GroupState {
-    /// A group that is new here.
-    pub fn new(row: &Arc<GroupRow>, slots: u32, takes_new: bool, timely_ms: f64) -> GroupState {
+    /// Creates the state of a group.
+    pub fn new(row: &Arc<GroupRow>, slots: u32, accepts_requests: bool, timely_ms: f64) -> GroupState {
         GroupState {
             row: row.clone(),
-            takes_new,
+            accepts_requests,
             slots,
             in_flight: 0,
             others_in_flight: 0,
             reported_in_flight: 0,
             allowance: FIRST_ALLOWANCE,
-            suspected_until: 0,
+            avoided_until: 0,
             suspected_by_others: false,
             cold_until: 0,
             progressed: false,
             refused: false,
-            last_progress: 0,
+            last_event_at: 0,
             timely_ms,
             pace: EventPace::default(),
         }
     }
 
-    /// Whether it serves the model that is asked for.
+    /// Returns whether it serves the requested model.
     pub fn serves(&self, query: &PlaceQuery<'_>) -> bool {
         self.row.service == query.service && self.row.model == query.model
     }
 
-    /// Whether it takes new requests, and may run this one.
+    /// Returns whether it accepts new requests and may run this one.
     pub fn may_run(&self, query: &PlaceQuery<'_>) -> bool {
-        self.serves(query) && self.takes_new && query.zones.contains(&self.row.zone)
+        self.serves(query) && self.accepts_requests && query.zones.contains(&self.row.zone)
     }
 
-    /// Whether this entry may hold one more request there. `is_granted`: the leader told lately how many it may hold.
+    /// Returns whether this entry may send one more request to it. `is_granted`: the allowance granted by the leader is recent.
     pub fn has_place(&self, is_granted: bool) -> bool {
         if is_granted { self.in_flight < self.allowance } else { self.total() < self.slots }
     }
 
-    /// Whether it is avoided.
+    /// Returns whether it is avoided.
     pub fn is_suspected(&self, now: Millis) -> bool {
-        now < self.suspected_until || self.suspected_by_others
+        now < self.avoided_until || self.suspected_by_others
     }
 
-    /// Whether its head is cold, or was until a moment ago.
+    /// Returns whether its head is cold, or was until recently.
     pub fn is_cold(&self, now: Millis) -> bool {
         self.row.head_is_cold || now < self.cold_until
     }
 
-    /// Takes its row as it is now.
+    /// Updates its row.
     pub fn follow(&mut self, now: Millis, row: &Arc<GroupRow>) {
         if self.row.head_is_cold {
             self.cold_until = now + COLD_SLOW_START_MS;
@@ -100,7 +100,7 @@
         self.row = row.clone();
     }
 
-    /// Requests of all entries.
+    /// Returns the requests in flight from all entries.
     pub fn total(&self) -> u32 {
         self.in_flight + self.others_in_flight
     }
--- a/crates/daemon/src/gateway/loads/holds.rs
+++ b/crates/daemon/src/gateway/loads/holds.rs
@@ -1,4 +1,4 @@
-//! Which groups are not asked, as their heads rest or leave.
+//! Groups that are not selected because their heads are on hold or at a rate limit.
 
 use super::{GroupState, Loads, PlaceQuery};
 use crate::clock::monotonic_ms;
@@ -8,27 +8,27 @@
 use dockwood_routing::Millis;
 use dockwood_routing::pushback::{Hold, interval_ms};
 
-/// The groups that might take a request, as far as their heads are held back.
+/// Holds of the groups that may run a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupHolds {
-    /// Epochs of those that are held back.
+    /// Epochs of the groups whose heads are on hold.
     pub held: Vec<u64>,
-    /// Their heads.
+    /// Heads of these groups.
     pub heads: HeldServers,
-    /// There is one that is not held back and was not tried yet.
-    pub has_other: bool,
+    /// Whether there is a group that is neither on hold nor excluded.
+    pub has_available: bool,
 }
 
 impl GroupHolds {
-    /// Whether nobody is left to ask, and that because groups are held back.
-    pub fn leave_nobody(&self) -> bool {
-        !self.held.is_empty() && !self.has_other
+    /// Returns whether no group is available and some of them are on hold.
+    pub fn leave_no_group(&self) -> bool {
+        !self.held.is_empty() && !self.has_available
     }
 }
 
 impl Loads {
-    /// Groups of a model whose heads named a limit, so that a dispatcher spaces what it gives them.
-    pub fn limited(&self, query: PlaceQuery<'_>, pushback: &Pushback) -> Vec<LimitedGroup> {
+    /// Returns the groups of a model whose heads have a rate limit, so that a dispatcher spaces the requests to them.
+    pub fn rate_limited_groups(&self, query: PlaceQuery<'_>, pushback: &Pushback) -> Vec<LimitedGroup> {
         if pushback.is_empty() {
             return Vec::new();
         }
@@ -40,7 +40,8 @@
         groups.iter().filter(|(_, group)| group.may_run(&query)).filter_map(limited).collect()
     }
 
-    /// What a request is told whose groups are all at their limits, the first of them until this has passed.
+    /// Returns the heads of groups with a rate limit, for a request whose groups are all at their limits until `free_in_ms` has
+    /// passed.
     pub fn all_at_limit(
         &self,
         query: PlaceQuery<'_>,
@@ -56,10 +57,10 @@
         held
     }
 
-    /// Looks at all groups that might take a request.
-    pub fn holds(&self, query: PlaceQuery<'_>, pushback: &Pushback) -> GroupHolds {
+    /// Returns the holds of all groups that may run a request.
+    pub fn group_holds(&self, query: PlaceQuery<'_>, pushback: &Pushback) -> GroupHolds {
         if pushback.is_empty() {
-            return GroupHolds { has_other: true, ..GroupHolds::default() };
+            return GroupHolds { has_available: true, ..GroupHolds::default() };
         }
         let mut holds = GroupHolds::default();
         let groups = lock(&self.groups);
@@ -70,7 +71,7 @@
                     holds.held.push(*epoch);
                     holds.heads.add(&head.id, hold);
                 }
-                None => holds.has_other |= !query.excluded.contains(epoch),
+                None => holds.has_available |= !query.excluded.contains(epoch),
             }
         }
         holds
--- a/crates/daemon/src/gateway/loads/mod.rs
+++ b/crates/daemon/src/gateway/loads/mod.rs
@@ -1,4 +1,4 @@
-//! Requests in flight at each group, here and at the other entries, and which groups seem to stand still.
+//! Requests in flight at each group, from this entry and the others, and groups that are suspected to be stalled.
 
 mod group_state;
 mod holds;
@@ -24,47 +24,47 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::{Notify, watch};
 
-/// A group that stood still here is avoided for this long.
-const SUSPICION_MS: Millis = 1_200;
-/// What the leader has granted counts for this long; after that this entry goes by the figures that it has.
+/// Time for which a group that stalled on this entry is avoided.
+const AVOID_STALLED_MS: Millis = 1_200;
+/// Validity of the places granted by the leader. After that, this entry uses its own load figures.
 const GRANTS_VALID_MS: Millis = 500;
 
-/// The groups as this entry sees them.
+/// This entry's view of the groups.
 #[derive(Debug, Default)]
 pub struct Loads {
     groups: Mutex<BTreeMap<u64, GroupState>>,
     entries: AtomicU32,
     /// When the leader last granted places.
     granted_at: AtomicU64,
-    /// A place has become free, or a group has opened.
+    /// Signals that a place has become free or a group has opened.
     freed: Notify,
-    /// Something is to be told to the leader at once.
+    /// Signals that a report has to be sent immediately.
     pub urgent: Notify,
-    /// A request has ended.
+    /// Signals that a request has ended.
     pub ended: Notify,
-    paces: Mutex<BTreeMap<String, ObservedLatency>>,
-    /// What the leader is to be told of each model, by service and model.
+    latencies: Mutex<BTreeMap<String, ObservedLatency>>,
+    /// Demand for each model since it was last reported, by service and model.
     demand: Mutex<BTreeMap<(String, String), ModelLoad>>,
-    /// Grows when a group closes.
+    /// Incremented when a group closes.
     changes: watch::Sender<u64>,
 }
 
-/// A place at a group, held until it is dropped.
+/// A place at a group, which is released on drop.
 pub struct GroupPlace {
     gateway: Arc<super::Gateway>,
-    /// The group.
+    /// Epoch of the group.
     pub epoch: u64,
     /// Address of its head.
     pub head: SocketAddr,
-    /// Its head, as what is sent to it is answered for.
-    pub addressee: SendTarget,
-    /// The head is cold, as far as this entry knows.
+    /// Its head as the target of a send permit.
+    pub target: SendTarget,
+    /// Whether the head is cold, as far as this entry knows.
     pub is_cold: bool,
-    /// Nothing may be sent from then on; `None` if the place may be used at any time.
+    /// The place expires at this time; `None` if it does not expire.
     pub valid_until: Option<Millis>,
     /// Zone of its head.
     pub zone: String,
-    /// Who chose it.
+    /// Who selected it.
     pub chosen_by: ChosenBy,
 }
 
@@ -74,58 +74,58 @@
     }
 }
 
-/// What came of asking for a place.
-pub enum PlaceAnswer {
-    /// A place.
+/// Result of a request for a place.
+pub enum PlaceResult {
+    /// A place was obtained.
     Taken(GroupPlace),
-    /// The heads of all groups that were not tried yet rest or leave.
-    Held(HeldServers),
+    /// The heads of all groups that have not been tried yet are on hold.
+    OnHold(HeldServers),
     /// Every group is full.
     Full,
     /// No group serves the model.
     NoGroup,
 }
 
-/// Who asks for a place.
+/// Criteria for a place.
 #[derive(Clone, Copy, Debug)]
 pub struct PlaceQuery<'a> {
     /// Service.
     pub service: &'a str,
     /// Model.
     pub model: &'a str,
-    /// Zones whose groups may take it.
+    /// Zones in which the request may run.
     pub zones: &'a AllowedZones,
-    /// Groups that were tried before, or whose heads are held back.
+    /// Groups that have been tried, or whose heads are on hold.
     pub excluded: &'a [u64],
-    /// A group with few requests is better than a near or a fast one.
+    /// Whether a group with few requests is preferred over a near or fast one.
     pub prefers_idle: bool,
     /// Tokens of the request's prompt.
     pub prompt_tokens: u64,
-    /// When its first event should be there, in milliseconds.
+    /// Target for the time to the first event, in milliseconds.
     pub target_ms: u64,
 }
 
-/// Takes a place at a group, which was asked for at `asked_at`.
-fn place_at(
+/// Takes a place at a group that was requested at `requested_at`.
+fn take_place_at(
     gateway: &Arc<super::Gateway>,
     groups: &mut BTreeMap<u64, GroupState>,
     epoch: u64,
-    asked_at: Millis,
+    requested_at: Millis,
     chosen_by: ChosenBy,
 ) -> Option<GroupPlace> {
     let group = groups.get_mut(&epoch)?;
     group.in_flight += 1;
-    let addressee = SendTarget::head(&group.row, group.slots);
+    let target = SendTarget::head(&group.row, group.slots);
     let tables = gateway.shared.tables();
     let is_limited = group.is_cold(monotonic_ms());
-    let valid_until = place_valid_until(&tables.gateway, &group.row.service, is_limited, asked_at);
+    let valid_until = place_valid_until(&tables.gateway, &group.row.service, is_limited, requested_at);
     let (head, zone, is_cold) = (group.row.head, group.row.zone.clone(), group.row.head_is_cold);
     let gateway = gateway.clone();
-    Some(GroupPlace { gateway, epoch, head, addressee, is_cold, valid_until, zone, chosen_by })
+    Some(GroupPlace { gateway, epoch, head, target, is_cold, valid_until, zone, chosen_by })
 }
 
 impl Loads {
-    /// Takes the groups of newly published tables.
+    /// Applies the groups of newly published tables.
     pub fn follow(&self, tables: &GatewayTables) {
         let now = monotonic_ms();
         let mut groups = lock(&self.groups);
@@ -139,83 +139,83 @@
         for row in tables.groups.values().filter(|row| row.serves()) {
             let engine = tables.engine(&row.service);
             let slots = engine.map_or(1, |engine| engine.slots);
-            let takes_new = row.phase == GroupPhase::Open && !tables.is_evacuated(&row.zone);
+            let accepts_requests = row.phase == GroupPhase::Open && !tables.is_evacuated(&row.zone);
             let model = engine.and_then(|engine| engine.model(&row.model));
             let timely_ms =
                 engine.zip(model).map_or(f64::INFINITY, |(engine, model)| timely_event_ms(engine, model));
             let update = |group: &mut GroupState| {
                 group.slots = slots;
                 group.timely_ms = timely_ms;
-                group.takes_new = takes_new;
+                group.accepts_requests = accepts_requests;
                 group.follow(now, row);
             };
-            let new = || GroupState::new(row, slots, takes_new, timely_ms);
+            let new = || GroupState::new(row, slots, accepts_requests, timely_ms);
             groups.entry(row.epoch).and_modify(update).or_insert_with(new);
         }
         drop(groups);
         self.freed.notify_waiters();
         if closed {
-            self.changed();
+            self.notify_closed();
         }
     }
 
-    /// What was seen of a model's groups.
-    pub fn pace_estimates(&self, model: &str) -> ObservedLatency {
-        lock(&self.paces).get(model).copied().unwrap_or_default()
+    /// Returns the latencies observed at a model's groups.
+    pub fn observed_latency(&self, model: &str) -> ObservedLatency {
+        lock(&self.latencies).get(model).copied().unwrap_or_default()
     }
 
-    /// Notes how long an event took; `first` if it was the first one.
-    pub fn record_event(&self, model: &str, first: bool, took_ms: f64) {
-        let mut paces = lock(&self.paces);
-        let seen = match paces.get_mut(model) {
-            Some(seen) => seen,
-            None => paces.entry(model.to_string()).or_default(),
+    /// Records the latency of an event; `first` if it was the first one of its stream.
+    pub fn record_latency(&self, model: &str, first: bool, took_ms: f64) {
+        let mut latencies = lock(&self.latencies);
+        let observed = match latencies.get_mut(model) {
+            Some(observed) => observed,
+            None => latencies.entry(model.to_string()).or_default(),
         };
-        let estimate = if first { &mut seen.first_event } else { &mut seen.between_events };
+        let estimate = if first { &mut observed.first_event } else { &mut observed.between_events };
         estimate.record(took_ms);
     }
 
-    fn changed(&self) {
+    fn notify_closed(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Follows changes of groups.
+    /// Returns a receiver that is notified when a group closes.
     pub fn watch_changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Completes once a place may have become free since this was called: a group has opened, has lost a request, or
-    /// its zone takes requests again.
+    /// Returns a future that completes once a place may have become free since this call: because a group has opened, a request
+    /// has ended, or the evacuation of a zone has ended.
     pub fn place_freed(&self) -> Notified<'_> {
         self.freed.notified()
     }
 
-    /// Entries that told the leader of their load lately.
+    /// Returns the number of entries that have recently reported their load to the leader.
     pub fn entries(&self) -> u32 {
         self.entries.load(Ordering::Relaxed)
     }
 
-    /// Takes a place at the best group by this entry's own figures. Never at one whose head is cold: what the other
-    /// entries send there isn't known here.
-    pub fn take(gateway: &Arc<super::Gateway>, query: PlaceQuery<'_>) -> PlaceAnswer {
+    /// Takes a place at the best group according to this entry's own load figures. Groups with a cold head are excluded, because
+    /// this entry doesn't know how much the other entries send there.
+    pub fn take_best(gateway: &Arc<super::Gateway>, query: PlaceQuery<'_>) -> PlaceResult {
         let now = monotonic_ms();
         let own_zone = &gateway.shared.settings.zone;
         let mut groups = lock(&gateway.loads.groups);
         let serving = groups.iter().filter(|(_, group)| group.may_run(&query));
         let serving: Vec<u64> = serving.map(|(epoch, _)| *epoch).collect();
         if serving.is_empty() {
-            return PlaceAnswer::NoGroup;
+            return PlaceResult::NoGroup;
         }
         let is_granted = now < gateway.loads.granted_at.load(Ordering::Relaxed) + GRANTS_VALID_MS;
-        let spares_cold = gateway.shared.tables().gateway.cold_start(query.service).is_some();
-        let mut passed_over = false;
+        let limits_cold = gateway.shared.tables().gateway.cold_start(query.service).is_some();
+        let mut skipped_cold = false;
         let eligible = |epoch: &&u64| {
             let group = &groups[*epoch];
-            let is_sound = !query.excluded.contains(*epoch) && !group.is_suspected(now);
-            let is_open = is_sound && group.has_place(is_granted);
-            let is_spared = is_open && spares_cold && group.is_cold(now);
-            passed_over |= is_spared;
-            is_open && !is_spared
+            let is_usable = !query.excluded.contains(*epoch) && !group.is_suspected(now);
+            let is_open = is_usable && group.has_place(is_granted);
+            let is_skipped = is_open && limits_cold && group.is_cold(now);
+            skipped_cold |= is_skipped;
+            is_open && !is_skipped
         };
         let candidates: Vec<Candidate> = serving
             .iter()
@@ -230,78 +230,78 @@
                 }
             })
             .collect();
-        if passed_over {
+        if skipped_cold {
             gateway.shared.metrics.cold_limited.with_label_values(&["noDispatcher"]).inc();
         }
         let mut random = rand::rng();
         let Some(epoch) = choose(&candidates, |below| random.random_range(0..below)) else {
-            gateway.loads.found_none(query.service, query.model);
+            gateway.loads.record_no_place(query.service, query.model);
             gateway.loads.urgent.notify_one();
-            return PlaceAnswer::Full;
+            return PlaceResult::Full;
         };
-        place_at(gateway, &mut groups, epoch as u64, now, ChosenBy::Entry)
-            .map_or(PlaceAnswer::Full, PlaceAnswer::Taken)
+        take_place_at(gateway, &mut groups, epoch as u64, now, ChosenBy::Entry)
+            .map_or(PlaceResult::Full, PlaceResult::Taken)
     }
 
-    /// Takes a place that a dispatcher has assigned, which was asked at `asked_at`; `None` if the group is not known
-    /// here, no longer serves, or may not run the request.
+    /// Takes a place that a dispatcher has assigned, requested at `requested_at`; `None` if the group is not known to this entry,
+    /// accepts no new requests, or may not run the request.
     pub fn take_assigned(
         gateway: &Arc<super::Gateway>,
         query: PlaceQuery<'_>,
         epoch: u64,
-        asked_at: Millis,
+        requested_at: Millis,
     ) -> Option<GroupPlace> {
         let mut groups = lock(&gateway.loads.groups);
-        let group = groups.get(&epoch).filter(|group| group.takes_new)?;
+        let group = groups.get(&epoch).filter(|group| group.accepts_requests)?;
         if query.excluded.contains(&epoch) || !query.zones.contains(&group.row.zone) {
             return None;
         }
-        place_at(gateway, &mut groups, epoch, asked_at, ChosenBy::Dispatcher)
+        take_place_at(gateway, &mut groups, epoch, requested_at, ChosenBy::Dispatcher)
     }
 
-    /// Groups of a model whose heads are cold.
-    pub fn cold(&self, query: PlaceQuery<'_>) -> Vec<u64> {
+    /// Returns the groups of a model whose heads are cold.
+    pub fn cold_groups(&self, query: PlaceQuery<'_>) -> Vec<u64> {
         let now = monotonic_ms();
         let groups = lock(&self.groups);
         let cold = groups.iter().filter(|(_, group)| group.serves(&query) && group.is_cold(now));
         cold.map(|(epoch, _)| *epoch).collect()
     }
 
-    /// Groups of a model that are avoided here now.
-    pub fn suspected(&self, query: PlaceQuery<'_>) -> Vec<u64> {
+    /// Returns the groups of a model that are currently avoided.
+    pub fn suspected_groups(&self, query: PlaceQuery<'_>) -> Vec<u64> {
         let now = monotonic_ms();
         let groups = lock(&self.groups);
         let suspected = groups.iter().filter(|(_, group)| group.serves(&query) && group.is_suspected(now));
         suspected.map(|(epoch, _)| *epoch).collect()
     }
 
-    /// Notes that a caller asks for a model, with a prompt of so many tokens.
-    pub fn arrived(&self, service: &str, model: &str, prompt_tokens: u64) {
-        self.count(service, model, |load| {
+    /// Records the arrival of a request for a model.
+    pub fn record_arrival(&self, service: &str, model: &str, prompt_tokens: u64) {
+        self.update_demand(service, model, |load| {
             load.arrived += 1;
             load.prompt_tokens += prompt_tokens;
         });
     }
 
-    /// Notes that a request was refused for want of a place.
-    pub fn refused(&self, service: &str, model: &str) {
-        self.count(service, model, |load| load.refused += 1);
+    /// Records that a request was refused because there was no place.
+    pub fn record_refusal(&self, service: &str, model: &str) {
+        self.update_demand(service, model, |load| load.refused += 1);
     }
 
-    /// Notes that a request found no place.
-    pub fn found_none(&self, service: &str, model: &str) {
-        self.count(service, model, |load| load.found_none += 1);
+    /// Records that no place was found in one attempt.
+    pub fn record_no_place(&self, service: &str, model: &str) {
+        self.update_demand(service, model, |load| load.found_none += 1);
     }
 
-    /// Notes that a caller got a whole answer of so many events.
-    pub fn answered(&self, service: &str, model: &str, events: u64) {
-        self.count(service, model, |load| {
+    /// Records a complete response with this number of events.
+    pub fn record_response(&self, service: &str, model: &str, events: u64) {
+        self.update_demand(service, model, |load| {
             load.answered += 1;
             load.events += events;
         });
     }
 
-    fn count(&self, service: &str, model: &str, change: impl FnOnce(&mut ModelLoad)) {
+    fn update_demand(&self, service: &str, model: &str, change: impl FnOnce(&mut ModelLoad)) {
         let key = (service.to_string(), model.to_string());
         let mut demand = lock(&self.demand);
         let load = demand.entry(key).or_insert_with_key(|(service, model)| ModelLoad {
@@ -325,41 +325,41 @@
         self.ended.notify_one();
     }
 
-    /// A group showed an event, `pause_ms` after the one before it on the same stream; `None` for the first one.
-    pub fn progressed(&self, epoch: u64, pause_ms: Option<f64>) {
+    /// Records an event of a group, `pause_ms` after the previous one on the same stream; `None` for the first one.
+    pub fn record_progress(&self, epoch: u64, pause_ms: Option<f64>) {
         if let Some(group) = lock(&self.groups).get_mut(&epoch) {
             if let Some(pause_ms) = pause_ms {
                 let timely = u32::from(pause_ms <= group.timely_ms);
                 group.pace.add(EventPace { events: 1, timely });
             }
             group.progressed = true;
-            group.last_progress = monotonic_ms();
-            group.suspected_until = 0;
+            group.last_event_at = monotonic_ms();
+            group.avoided_until = 0;
         }
     }
 
-    /// Whether a group has shown an event on any stream here within `span`.
+    /// Returns whether a group has sent an event on any stream of this entry within `span`.
     pub fn progressed_within(&self, epoch: u64, span: Millis) -> bool {
         let now = monotonic_ms();
-        lock(&self.groups).get(&epoch).is_some_and(|group| now < group.last_progress + span)
+        lock(&self.groups).get(&epoch).is_some_and(|group| now < group.last_event_at + span)
     }
 
-    /// Whether a group still works on what it has.
+    /// Returns whether a group still processes its requests.
     pub fn is_open(&self, epoch: u64) -> bool {
         lock(&self.groups).contains_key(&epoch)
     }
 
-    /// A group stands still, or its head refuses connections.
-    pub fn suspect(&self, epoch: u64, refused: bool) {
+    /// Records that a group has stalled or, if `refused`, that its head refuses connections.
+    pub fn suspect_group(&self, epoch: u64, refused: bool) {
         let now = monotonic_ms();
         if let Some(group) = lock(&self.groups).get_mut(&epoch) {
-            group.suspected_until = now + SUSPICION_MS;
+            group.avoided_until = now + AVOID_STALLED_MS;
             group.refused |= refused;
         }
         self.urgent.notify_one();
     }
 
-    /// Age of the leader's last word on places, in milliseconds.
+    /// Returns the age of the leader's last grants, in milliseconds.
     pub fn age_of_grants(&self, now: Millis) -> Millis {
         now.saturating_sub(self.granted_at.load(Ordering::Relaxed))
     }
--- a/crates/daemon/src/gateway/loads/reports.rs
+++ b/crates/daemon/src/gateway/loads/reports.rs
@@ -1,4 +1,4 @@
-//! What this entry tells the control leader or the dispatchers of its requests, and what it learns from them.
+//! Load reports of this entry to the control leader or the dispatchers, and the digests that it receives in return.
 
 use super::{GroupState, Loads, PlaceQuery, lock};
 use crate::clock::monotonic_ms;
@@ -11,29 +11,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering;
 
-/// A rest of which less is left than this is not told: no other group could serve in its place before it ends, and a plan
-/// that changes with each short rest never settles.
-const LONG_REST_MS: Millis = 10_000;
+/// A back-off with less than this time remaining is not reported, in milliseconds: no other group could be opened before it
+/// ends, and a plan that changes with each short back-off never becomes stable.
+const MIN_REPORTED_BACKOFF_MS: Millis = 10_000;
 
-/// How much longer this entry sends nothing to the head of a group, as far as plans need to know.
+/// Returns for how long the head of a group will stay on hold at this entry; 0 for holds that are too short to be planned for.
 fn held_for_ms(row: &GroupRow, pushback: &Pushback, now: Millis) -> Millis {
     if pushback.is_empty() {
         return 0;
     }
     match pushback.hold(&head_of(row)) {
         Some(Hold::Leaving) => Millis::MAX,
-        Some(Hold::Resting { until }) if until >= now + LONG_REST_MS => until - now,
+        Some(Hold::Resting { until }) if until >= now + MIN_REPORTED_BACKOFF_MS => until - now,
         _ => 0,
     }
 }
 
-/// What an entry has at the groups of one scope.
+/// This entry's load on the groups of one scope.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScopeLoad {
-    /// Requests in flight by group epoch, of groups that have any or stand still.
+    /// Requests in flight by group epoch, for groups that have any or are suspected to be stalled.
     pub in_flight: Vec<(u64, u32)>,
-    /// A group stands still, or refuses connections.
-    pub stands_still: bool,
+    /// Whether a group is suspected to be stalled, or refuses connections.
+    pub is_stalled: bool,
 }
 
 fn scope_of(row: &GroupRow) -> DispatchScope {
@@ -45,14 +45,14 @@
 }
 
 impl Loads {
-    /// What the leader is to be told of all groups.
+    /// Creates the report to the leader on all groups.
     pub fn report(&self, daemon: &str, pushback: &Pushback) -> LoadReport {
-        let groups = self.tell_groups(pushback, |_| true);
+        let groups = self.report_groups(pushback, |_| true);
         let models = std::mem::take(&mut *lock(&self.demand)).into_values().collect();
         LoadReport { daemon: daemon.to_string(), scope: None, groups, models }
     }
 
-    /// What the dispatcher of a scope is to be told; what is asked for goes to that of the own zone.
+    /// Creates the report to the dispatcher of a scope. The demand is reported to the dispatcher in this entry's own zone.
     pub fn report_scope(
         &self,
         daemon: &str,
@@ -60,22 +60,22 @@
         scope: &DispatchScope,
         pushback: &Pushback,
     ) -> LoadReport {
-        let groups = self.tell_groups(pushback, |row| is_in_scope(row, scope));
+        let groups = self.report_groups(pushback, |row| is_in_scope(row, scope));
         let key = (scope.service.clone(), scope.model.clone());
         let is_own = scope.zone == own_zone;
         let models = is_own.then(|| lock(&self.demand).remove(&key)).flatten().into_iter().collect();
         LoadReport { daemon: daemon.to_string(), scope: Some(scope.clone()), groups, models }
     }
 
-    fn tell_groups(&self, pushback: &Pushback, concerns: impl Fn(&GroupRow) -> bool) -> Vec<GroupLoad> {
+    fn report_groups(&self, pushback: &Pushback, includes: impl Fn(&GroupRow) -> bool) -> Vec<GroupLoad> {
         let now = monotonic_ms();
         let mut groups = lock(&self.groups);
-        let tell = |(epoch, group): (&u64, &mut GroupState)| {
+        let report_group = |(epoch, group): (&u64, &mut GroupState)| {
             group.reported_in_flight = group.in_flight;
             let load = GroupLoad {
                 epoch: *epoch,
                 in_flight: group.in_flight,
-                silent: now < group.suspected_until,
+                silent: now < group.avoided_until,
                 refuses: std::mem::take(&mut group.refused),
                 progressed: std::mem::take(&mut group.progressed),
                 pace: std::mem::take(&mut group.pace),
@@ -83,24 +83,24 @@
             };
             (load.is_at_work() || load.held_for_ms > 0).then_some(load)
         };
-        groups.iter_mut().filter(|(_, group)| concerns(&group.row)).filter_map(tell).collect()
+        groups.iter_mut().filter(|(_, group)| includes(&group.row)).filter_map(report_group).collect()
     }
 
-    /// Requests in flight and groups that stand still, by scope; also scopes in which only demand is to be told.
+    /// Returns requests in flight and stalled groups by scope, including scopes with only demand to report.
     pub fn scopes(&self, own_zone: &str, pushback: &Pushback) -> BTreeMap<DispatchScope, ScopeLoad> {
         let now = monotonic_ms();
         let mut scopes: BTreeMap<DispatchScope, ScopeLoad> = BTreeMap::new();
         for (epoch, group) in lock(&self.groups).iter() {
-            let stands_still = now < group.suspected_until || group.refused;
+            let is_stalled = now < group.avoided_until || group.refused;
             let is_held = held_for_ms(&group.row, pushback, now) > 0;
-            if group.in_flight == 0 && !stands_still && !is_held {
+            if group.in_flight == 0 && !is_stalled && !is_held {
                 continue;
             }
             let load = scopes.entry(scope_of(&group.row)).or_default();
-            if group.in_flight > 0 || stands_still {
+            if group.in_flight > 0 || is_stalled {
                 load.in_flight.push((*epoch, group.in_flight));
             }
-            load.stands_still |= stands_still;
+            load.is_stalled |= is_stalled;
         }
         for (service, model) in lock(&self.demand).keys() {
             let scope =
@@ -110,7 +110,7 @@
         scopes
     }
 
-    /// Zones with groups that take a model's requests: the own one first, the others in an order drawn by chance.
+    /// Returns the zones with groups that accept a model's requests: this entry's own zone first, the others in random order.
     pub fn zones(&self, query: PlaceQuery<'_>, own_zone: &str) -> Vec<String> {
         let groups = lock(&self.groups);
         let serving = groups.values().filter(|group| group.may_run(&query));
@@ -121,8 +121,8 @@
         own.into_iter().chain(others).map(str::to_string).collect()
     }
 
-    /// Takes what the dispatcher of a scope tells of the other entries.
-    pub fn take_scope_digest(&self, scope: &DispatchScope, digest: &LoadDigest) {
+    /// Applies a scope's digest of the other entries' load, received from its dispatcher.
+    pub fn apply_scope_digest(&self, scope: &DispatchScope, digest: &LoadDigest) {
         let mut groups = lock(&self.groups);
         for (epoch, group) in groups.iter_mut().filter(|(_, group)| is_in_scope(&group.row, scope)) {
             let shared = digest.groups.iter().find(|shared| shared.epoch == *epoch);
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Takes what the leader tells of the other entries.
-    pub fn take_digest(&self, digest: &LoadDigest) {
+    /// Applies the leader's digest of the other entries' load.
+    pub fn apply_digest(&self, digest: &LoadDigest) {
         self.entries.store(digest.entries, Ordering::Relaxed);
         let mut groups = lock(&self.groups);
         for (epoch, group) in groups.iter_mut() {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,8 +1,6 @@
-//! The gateway: takes callers' requests by their routes and sends them to registered servers and groups; tells
-//! callers where to go; takes operators' calls and servers' reports.
+//! The gateway: routes callers' requests to registered servers and groups, serves the directory of entries, and handles
+//! operators' calls and servers' reports.
 
-mod account;
-mod answers;
 mod assignment;
 mod body;
 mod cold;
@@ -11,20 +9,22 @@
 mod evacuation;
 mod frontend;
 mod headers;
+mod http_server;
 mod load_exchange;
 mod loads;
 mod operators;
 mod plain;
 mod readiness;
 mod receive;
-mod refusal;
 mod regions;
-mod registration;
-mod serving;
+mod report_forwarding;
+mod request_log;
+mod response_head;
+mod responses;
+mod server_selection;
 mod source;
 mod stalls;
 mod stream;
-mod targets;
 mod upstream;
 
 pub use cold::ColdServers;
@@ -49,15 +49,15 @@
 use tokio::sync::watch;
 use upstream::ConnectionPool;
 
-/// State of the gateway's traffic.
+/// State of the gateway.
 pub struct Gateway {
-    /// Shared state.
+    /// State shared by all threads of the daemon.
     pub shared: Arc<Shared>,
-    /// The deployment's protocol.
+    /// Protocol dialect of the deployment.
     pub dialect: Arc<dyn Dialect>,
     routes: ArcSwap<RouteTable>,
     loads: Loads,
-    registrations: registration::Registrations,
+    report_forwarder: report_forwarding::ReportForwarder,
     pickers: Mutex<HashMap<String, BackendPicker>>,
     budgets: Mutex<HashMap<String, SendBudget>>,
     budget_limits: SendBudgetLimits,
@@ -67,16 +67,16 @@
     stopping: watch::Sender<bool>,
 }
 
-/// Listening sockets of the gateway, bound before anything runs.
+/// Listening sockets of the gateway, bound before any task is started.
 #[derive(Debug, Default)]
 pub struct GatewayListeners {
-    /// For callers.
+    /// Socket for callers.
     pub frontend: Option<TcpListener>,
-    /// For readiness.
+    /// Socket for readiness checks.
     pub readiness: Option<TcpListener>,
-    /// For the directory.
+    /// Socket for the directory of entries.
     pub directory: Option<TcpListener>,
-    /// For operators and servers.
+    /// Socket for operators and servers.
     pub operators: Option<TcpListener>,
 }
 
@@ -88,20 +88,20 @@
         listeners: GatewayListeners,
     ) -> std::io::Result<Arc<Gateway>> {
         let gateway = Arc::new(Gateway::new(shared, dialect));
-        tokio::spawn(follow_configuration(gateway.clone()));
+        tokio::spawn(follow_publications(gateway.clone()));
         if let Some(listener) = listeners.frontend {
             tokio::spawn(load_exchange::run(gateway.clone()));
             tokio::spawn(run_summaries(gateway.shared.clone()));
-            tokio::spawn(frontend::serve(gateway.clone(), listener_of(listener)?));
+            tokio::spawn(frontend::serve(gateway.clone(), async_listener(listener)?));
         }
         if let Some(listener) = listeners.readiness {
-            tokio::spawn(serving::serve(listener_of(listener)?, gateway.clone(), readiness::answer));
+            tokio::spawn(http_server::serve(async_listener(listener)?, gateway.clone(), readiness::handle));
         }
         if let Some(listener) = listeners.directory {
-            tokio::spawn(serving::serve(listener_of(listener)?, gateway.clone(), directory::answer));
+            tokio::spawn(http_server::serve(async_listener(listener)?, gateway.clone(), directory::handle));
         }
         if let Some(listener) = listeners.operators {
-            tokio::spawn(serving::serve(listener_of(listener)?, gateway.clone(), operators::answer));
+            tokio::spawn(http_server::serve(async_listener(listener)?, gateway.clone(), operators::handle));
         }
         Ok(gateway)
     }
@@ -122,7 +122,7 @@
             dialect,
             routes: ArcSwap::default(),
             loads: Loads::default(),
-            registrations: registration::Registrations::default(),
+            report_forwarder: report_forwarding::ReportForwarder::default(),
             pickers: Mutex::default(),
             budgets: Mutex::default(),
             budget_limits,
@@ -133,23 +133,23 @@
         }
     }
 
-    /// The last step of a planned stop: connections end as soon as they have nothing in flight.
+    /// Closes callers' connections as soon as they have no request in flight: the last step of a planned stop.
     pub fn close_connections(&self) {
         self.stopping.send_replace(true);
     }
 
-    /// Counts a request to a service.
-    fn count_request(&self, service: &str) {
+    /// Records a request in the retry budget of its service.
+    fn record_request(&self, service: &str) {
         let mut budgets = lock(&self.budgets);
         let budget =
             budgets.entry(service.to_string()).or_insert_with(|| SendBudget::new(self.budget_limits));
         budget.record_request(crate::clock::monotonic_ms());
     }
 
-    /// Counts a second send to a service, if the budget allows it.
-    fn try_second_send(&self, service: &str, reason: &str) -> bool {
-        let known = self.shared.dispatchers.entries(&self.shared.tables());
-        let entries = u64::from(self.loads.entries().max(known));
+    /// Takes a retry from the budget of a service; returns false if the budget does not allow it.
+    fn try_retry(&self, service: &str, reason: &str) -> bool {
+        let known_entries = self.shared.dispatchers.entries(&self.shared.tables());
+        let entries = u64::from(self.loads.entries().max(known_entries));
         let mut budgets = lock(&self.budgets);
         let budget =
             budgets.entry(service.to_string()).or_insert_with(|| SendBudget::new(self.budget_limits));
@@ -163,26 +163,27 @@
     }
 }
 
-fn listener_of(listener: TcpListener) -> std::io::Result<tokio::net::TcpListener> {
+fn async_listener(listener: TcpListener) -> std::io::Result<tokio::net::TcpListener> {
     tokio::net::TcpListener::from_std(listener)
 }
 
-/// Shows the groups that are open here, one figure for each configured service with model engines.
-fn count_open_groups(metrics: &Metrics, tables: &GatewayTables) {
+/// Updates the metrics of open groups, for each configured service with model engines, and of departing groups.
+fn update_group_metrics(metrics: &Metrics, tables: &GatewayTables) {
     let services = tables.configuration.iter().flat_map(|held| &held.services);
     for service in services.filter(|service| service.engine.is_some()) {
-        let takes_new = |group: &&Arc<GroupRow>| {
+        let takes_requests = |group: &&Arc<GroupRow>| {
             let is_open = group.service == service.name && group.phase == GroupPhase::Open;
             is_open && !tables.is_evacuated(&group.zone)
         };
-        let open = tables.groups.values().filter(takes_new).count();
+        let open = tables.groups.values().filter(takes_requests).count();
         metrics.open_groups.with_label_values(&[&service.name]).set(open as i64);
     }
     metrics.departing_groups.set(departing_groups(tables) as i64);
 }
 
-/// Compiles each newly published configuration, for ever. A table is never replaced by an older one.
-async fn follow_configuration(gateway: Arc<Gateway>) {
+/// Applies newly published tables indefinitely, and compiles each new configuration. A route table is never replaced by an
+/// older one.
+async fn follow_publications(gateway: Arc<Gateway>) {
     let mut publications = gateway.shared.watch_publications();
     let mut unknown_regions = regions::UnknownRegions::default();
     loop {
@@ -196,7 +197,7 @@
         gateway.loads.follow(&tables.gateway);
         gateway.cold.follow(&gateway.shared.metrics, &tables.gateway);
         gateway.shared.pushback.follow(&gateway.shared.metrics, &tables.gateway);
-        count_open_groups(&gateway.shared.metrics, &tables.gateway);
+        update_group_metrics(&gateway.shared.metrics, &tables.gateway);
         let evacuated = tables.gateway.evacuated_zones().count();
         gateway.shared.metrics.evacuated_zones.set(evacuated as i64);
         if publications.changed().await.is_err() {
--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -1,14 +1,14 @@
-//! Requests to plain services: one answer, passed on whole.
+//! Requests to plain services, whose response is forwarded only once it is complete.
 
 use super::Gateway;
-use super::account::RequestAccount;
-use super::answers::take_head;
-use super::body::{AnswerBody, read_whole, whole};
+use super::body::{ResponseBody, full_body, read_body};
 use super::evacuation::may_write;
-use super::headers::{ServerHeaders, add_for_server, end_to_end};
-use super::receive::{Received, may_still_run};
-use super::refusal::{RETRY_SOON_MS, refuse};
-use super::targets::{Picked, pick_for};
+use super::headers::{ServerHeaders, add_server_headers, end_to_end};
+use super::receive::{ReceivedRequest, may_still_send};
+use super::request_log::RequestLog;
+use super::response_head::evaluate_head;
+use super::responses::{RETRY_SOON_MS, error_response};
+use super::server_selection::{SelectedServer, select_server};
 use super::upstream::Upstream;
 use crate::pushback::{SendPermit, SendPurpose, SendTarget, Unavailable};
 use crate::suspects::{Admission, SuspectGate};
@@ -22,303 +22,312 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the target that a request waits for servers at rest, in hundredths: it can still be in time after that.
-const REST_WAIT_HUNDREDTHS: u64 = 50;
-/// Shortest of these waits.
-const SHORTEST_REST_WAIT: Duration = Duration::from_millis(1);
-/// Answers that are held whole before they are passed on, in bytes.
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum time that a request waits for servers on hold, as a percentage of the latency target: it can still be answered in
+/// time after that.
+const HOLD_WAIT_PERCENT: u64 = 50;
+/// Minimum duration of one such wait.
+const MIN_HOLD_WAIT: Duration = Duration::from_millis(1);
+/// Maximum size of a response body, which is buffered before it is forwarded, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// An answer as a server gave it.
-struct ServerAnswer {
+/// A response as received from a server.
+struct ServerResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl ServerAnswer {
-    fn pass_on(self) -> Response<AnswerBody> {
-        let mut response = Response::new(whole(self.body));
+impl ServerResponse {
+    fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
         response
     }
 }
 
-/// Answers a request within its time.
-pub async fn answer(
+/// Handles a request within its deadline.
+pub async fn handle(
     gateway: &Arc<Gateway>,
-    received: &Received,
-    account: RequestAccount,
-) -> Response<AnswerBody> {
-    let mut course = PlainCourse {
+    received: &ReceivedRequest,
+    request_log: RequestLog,
+) -> Response<ResponseBody> {
+    let mut plain_request = PlainRequest {
         gateway,
         received,
-        account,
-        course: RequestAttempts::new(&received.route),
+        request_log,
+        attempts: RequestAttempts::new(&received.route),
         gate: received.suspect_gate(&gateway.shared),
         in_flight: false,
         tried: Vec::new(),
-        taken: Vec::new(),
-        kept: None,
+        occupied: Vec::new(),
+        last_error: None,
         waited: Duration::ZERO,
     };
-    match tokio::time::timeout_at(received.deadline, course.run()).await {
+    match tokio::time::timeout_at(received.deadline, plain_request.run()).await {
         Ok(response) => response,
         Err(_) => {
-            let told = course.course.out_of_time(course.in_flight);
-            course.give_up(told)
+            let result = plain_request.attempts.out_of_time(plain_request.in_flight);
+            plain_request.give_up(result)
         }
     }
 }
 
-/// What a caller is told when there is no answer to pass on.
-pub fn give_up(told: GiveUp) -> Response<AnswerBody> {
-    refuse(told.code, told.code.meaning(), told.not_run.then_some(RETRY_SOON_MS))
+/// Returns the response to a caller for whom there is no server response to forward.
+pub fn give_up(result: GiveUp) -> Response<ResponseBody> {
+    error_response(result.code, result.code.meaning(), result.not_run.then_some(RETRY_SOON_MS))
 }
 
-struct PlainCourse<'a> {
+struct PlainRequest<'a> {
     gateway: &'a Arc<Gateway>,
-    received: &'a Received,
-    account: RequestAccount,
-    course: RequestAttempts,
+    received: &'a ReceivedRequest,
+    request_log: RequestLog,
+    attempts: RequestAttempts,
     gate: SuspectGate,
     in_flight: bool,
     tried: Vec<String>,
-    /// Servers that are taken by other suspects, as looked at since the gate was last waited for.
-    taken: Vec<String>,
-    /// A server's own failure, passed on if no other server answers.
-    kept: Option<ServerAnswer>,
-    /// How long it has waited for servers at rest.
+    /// Servers that were found to run other suspects, since the gate was last waited for.
+    occupied: Vec<String>,
+    /// An error response of a server, forwarded if no other server responds.
+    last_error: Option<ServerResponse>,
+    /// Total time that the request has waited for servers on hold.
     waited: Duration,
 }
 
-impl PlainCourse<'_> {
-    async fn run(&mut self) -> Response<AnswerBody> {
+impl PlainRequest<'_> {
+    async fn run(&mut self) -> Response<ResponseBody> {
         loop {
-            let picked = match self.admitted_server().await {
-                Ok(Some(picked)) => picked,
+            let selected = match self.admitted_server().await {
+                Ok(Some(selected)) => selected,
                 Ok(None) => continue,
                 Err(response) => return *response,
             };
-            if !may_still_run(self.gateway, self.received) {
-                return self.last_word(ResultCode::NoLease);
+            if !may_still_send(self.gateway, self.received) {
+                return self.final_response(ResultCode::NoLease);
             }
-            if self.course.needs_budget()
-                && !self.gateway.try_second_send(&self.received.service.name, "plain")
-            {
-                return self.last_word(ResultCode::Overloaded);
+            if self.attempts.needs_budget() && !self.gateway.try_retry(&self.received.service.name, "plain") {
+                return self.final_response(ResultCode::Overloaded);
             }
-            self.tried.push(picked.row.id.clone());
-            let outcome = match self.send(picked).await {
-                Ok(answer) => return self.pass_on(answer),
+            self.tried.push(selected.row.id.clone());
+            let outcome = match self.send(selected).await {
+                Ok(response) => return self.forward(response),
                 Err(outcome) => outcome,
             };
-            self.account.send_ended(outcome);
+            self.request_log.record_outcome(outcome);
             if outcome == SendOutcome::ServerEnded {
                 self.gate.server_ended();
             }
-            if let RetryDecision::GiveUp(told) = self.course.ended(outcome) {
-                return match self.kept.take() {
-                    Some(kept) => self.pass_on(kept),
-                    None => self.give_up(told),
+            if let RetryDecision::GiveUp(result) = self.attempts.ended(outcome) {
+                return match self.last_error.take() {
+                    Some(last_error) => self.forward(last_error),
+                    None => self.give_up(result),
                 };
             }
         }
     }
 
-    /// A server to which the request may be sent; `None` if another one is to be looked for.
-    async fn admitted_server(&mut self) -> Result<Option<Picked>, Box<Response<AnswerBody>>> {
+    /// Returns a server that the request may be sent to; `None` if the selection has to be repeated.
+    async fn admitted_server(&mut self) -> Result<Option<SelectedServer>, Box<Response<ResponseBody>>> {
         let is_suspect = match self.gate.is_suspect().await {
             Ok(is_suspect) => is_suspect,
             Err(code) => return Err(Box::new(self.refused_by_gate(code))),
         };
-        let passed_over = [self.tried.as_slice(), &self.taken].concat();
-        let picked = match pick_for(self.gateway, self.received, &self.gate, is_suspect, &passed_over) {
-            Ok(picked) => picked,
-            Err(_) if !self.taken.is_empty() => {
+        let excluded = [self.tried.as_slice(), &self.occupied].concat();
+        let selected = match select_server(self.gateway, self.received, &self.gate, is_suspect, &excluded) {
+            Ok(selected) => selected,
+            Err(_) if !self.occupied.is_empty() => {
                 let admission = self.gate.wait_for_free_server().await;
-                return self.again(admission);
+                return self.reset_selection(admission);
             }
-            Err(unavailable) => return self.without_server(unavailable).await,
+            Err(unavailable) => return self.wait_or_refuse(unavailable).await,
         };
-        match self.gate.admit(is_suspect, &picked.row.id, &picked.row.zone).await {
-            Admission::Admitted => Ok(Some(picked)),
+        match self.gate.admit(is_suspect, &selected.row.id, &selected.row.zone).await {
+            Admission::Admitted => Ok(Some(selected)),
             Admission::OtherServer => {
-                self.taken.push(picked.row.id.clone());
+                self.occupied.push(selected.row.id.clone());
                 Ok(None)
             }
-            other => self.again(other),
+            other => self.reset_selection(other),
         }
     }
 
-    /// There is no server: waits for one whose rest ends soon, if no other has had the request.
-    async fn without_server(
+    /// Handles the case that no server is available: waits for one whose hold ends soon if the request has not been sent to
+    /// any server yet, and refuses the request otherwise.
+    async fn wait_or_refuse(
         &mut self,
         unavailable: Unavailable,
-    ) -> Result<Option<Picked>, Box<Response<AnswerBody>>> {
-        let longest =
-            Duration::from_millis(self.received.route.target_latency_ms * REST_WAIT_HUNDREDTHS / 100);
-        let left = longest.saturating_sub(self.waited);
-        let soon = unavailable.free_in.filter(|free_in| self.tried.is_empty() && *free_in <= left);
-        let Some(free_in) = soon else {
-            self.account.held(unavailable.held);
-            return Err(Box::new(self.last_word_with(unavailable.code, unavailable.retry_after_ms)));
+    ) -> Result<Option<SelectedServer>, Box<Response<ResponseBody>>> {
+        let max_wait = Duration::from_millis(self.received.route.target_latency_ms * HOLD_WAIT_PERCENT / 100);
+        let remaining = max_wait.saturating_sub(self.waited);
+        let in_time = unavailable.free_in.filter(|free_in| self.tried.is_empty() && *free_in <= remaining);
+        let Some(free_in) = in_time else {
+            self.request_log.set_held_servers(unavailable.held);
+            return Err(Box::new(
+                self.final_response_with_retry(unavailable.code, unavailable.retry_after_ms),
+            ));
         };
         if self.waited.is_zero() {
             self.gateway.shared.metrics.held_back.with_label_values(&["waited"]).inc();
         }
-        // Never nothing, so that the waits come to an end.
-        let wait = free_in.max(SHORTEST_REST_WAIT);
+        // Never zero, so that the number of waits is bounded.
+        let wait = free_in.max(MIN_HOLD_WAIT);
         self.waited += wait;
         tokio::time::sleep(wait).await;
         Ok(None)
     }
 
-    /// Looks at all servers again, unless the request may not be sent at all.
-    fn again(&mut self, admission: Admission) -> Result<Option<Picked>, Box<Response<AnswerBody>>> {
-        self.taken.clear();
+    /// Makes all servers eligible again, unless the request may not be sent to any.
+    fn reset_selection(
+        &mut self,
+        admission: Admission,
+    ) -> Result<Option<SelectedServer>, Box<Response<ResponseBody>>> {
+        self.occupied.clear();
         match admission {
             Admission::Refused(code) => Err(Box::new(self.refused_by_gate(code))),
             Admission::Admitted | Admission::OtherServer | Admission::Wait => Ok(None),
         }
     }
 
-    /// The answer when there is nobody to send to any more.
-    fn last_word(&mut self, code: ResultCode) -> Response<AnswerBody> {
-        self.last_word_with(code, None)
+    /// Returns the final response if the request is not sent to any further server.
+    fn final_response(&mut self, code: ResultCode) -> Response<ResponseBody> {
+        self.final_response_with_retry(code, None)
     }
 
-    /// The same, with the time after which the caller may come back, where it is known.
-    fn last_word_with(&mut self, code: ResultCode, back_in_ms: Option<Millis>) -> Response<AnswerBody> {
-        if let Some(kept) = self.kept.take() {
-            return self.pass_on(kept);
+    /// The same, with the retry time if it is known.
+    fn final_response_with_retry(
+        &mut self,
+        code: ResultCode,
+        retry_after_ms: Option<Millis>,
+    ) -> Response<ResponseBody> {
+        if let Some(last_error) = self.last_error.take() {
+            return self.forward(last_error);
         }
-        let told = self.course.give_up();
-        if !told.not_run {
-            return self.give_up(told);
+        let result = self.attempts.give_up();
+        if !result.not_run {
+            return self.give_up(result);
         }
-        self.account.end(code);
-        refuse(code, code.meaning(), Some(back_in_ms.unwrap_or(RETRY_SOON_MS)))
+        self.request_log.end(code);
+        error_response(code, code.meaning(), Some(retry_after_ms.unwrap_or(RETRY_SOON_MS)))
     }
 
-    fn pass_on(&mut self, answer: ServerAnswer) -> Response<AnswerBody> {
-        if answer.status.is_success() {
+    fn forward(&mut self, response: ServerResponse) -> Response<ResponseBody> {
+        if response.status.is_success() {
             self.gate.answered();
         }
-        let failed = answer.status.is_server_error();
-        self.account.end(if failed { ResultCode::BackendFailed } else { ResultCode::Ok });
-        answer.pass_on()
+        let failed = response.status.is_server_error();
+        self.request_log.end(if failed { ResultCode::BackendFailed } else { ResultCode::Ok });
+        response.into_response()
     }
 
-    fn give_up(&mut self, told: GiveUp) -> Response<AnswerBody> {
-        self.account.end(told.code);
-        give_up(told)
+    fn give_up(&mut self, result: GiveUp) -> Response<ResponseBody> {
+        self.request_log.end(result.code);
+        give_up(result)
     }
 
-    /// The answer to a request that is not sent. One under quarantine is told no time to come back.
-    fn refused_by_gate(&mut self, code: ResultCode) -> Response<AnswerBody> {
+    /// Returns the response to a request that the gate has refused. A quarantined request gets no retry time.
+    fn refused_by_gate(&mut self, code: ResultCode) -> Response<ResponseBody> {
         if code != ResultCode::RequestQuarantined {
-            return self.last_word(code);
+            return self.final_response(code);
         }
-        self.account.end(code);
-        refuse(code, code.meaning(), None)
+        self.request_log.end(code);
+        error_response(code, code.meaning(), None)
     }
 
-    /// Sends to one server. `Err` if that brought no answer to pass on.
-    async fn send(&mut self, picked: Picked) -> Result<ServerAnswer, SendOutcome> {
-        // A connection that rested may be closed at this moment: what may run only once never goes out on one.
-        let fresh = !self.received.route.is_repeatable();
-        self.account.sent(&picked.row.id, None, None);
-        let Ok(mut upstream) = self.gateway.pool.connection(picked.row.address, fresh).await else {
-            picked.ended(CallResult::Failed);
+    /// Sends the request to one server. `Err` if there is no response to forward.
+    async fn send(&mut self, selected: SelectedServer) -> Result<ServerResponse, SendOutcome> {
+        // An idle connection may be closed by the server at any moment, so a request that must run at most once is never sent
+        // on one.
+        let needs_new_connection = !self.received.route.is_repeatable();
+        self.request_log.record_send(&selected.row.id, None, None);
+        let Ok(mut upstream) = self.gateway.pool.connection(selected.row.address, needs_new_connection).await
+        else {
+            selected.finish(CallResult::Failed);
             return Err(SendOutcome::NotSent);
         };
-        let Some(request) = request_for(self.gateway, self.received, &picked.row.id, None) else {
+        let Some(request) = server_request(self.gateway, self.received, &selected.row.id, None) else {
             return Err(SendOutcome::NotSent);
         };
-        let (service, server) = (&self.received.service.name, &picked.row);
+        let (service, server) = (&self.received.service.name, &selected.row);
         let purpose = SendPurpose::Request { rank: self.received.rank };
         let permit = SendPermit::acquire(&self.gateway.shared, SendTarget::instance(server), purpose).await;
-        // From here on nothing is waited for until the request is written.
+        // No await between here and writing the request.
         let metrics = &self.gateway.shared.metrics;
-        let is_timely =
-            self.gateway.cold.may_send(metrics, service, &server.id, server.is_cold, picked.valid_until);
-        let is_its_turn = self.gate.may_write() && self.received.left_ms() > 0;
-        if permit.is_err() || !is_timely || !is_its_turn {
-            // It may be picked again: the connection that took too long is there now, and what holds it back ends.
+        let is_valid =
+            self.gateway.cold.may_send(metrics, service, &server.id, server.is_cold, selected.valid_until);
+        let is_admitted = self.gate.may_write() && self.received.remaining_ms() > 0;
+        if permit.is_err() || !is_valid || !is_admitted {
+            // The server may be selected again: its connection is established now, and the hold will end.
             self.tried.pop();
         }
-        let permit =
-            permit.ok().filter(|_| is_timely && is_its_turn && may_write(self.gateway, &server.zone));
+        let permit = permit.ok().filter(|_| is_valid && is_admitted && may_write(self.gateway, &server.zone));
         let Some(permit) = permit else {
-            self.gateway.pool.keep(upstream);
+            self.gateway.pool.release(upstream);
             return Err(SendOutcome::NotSent);
         };
         self.in_flight = true;
-        let answer = self.exchange(&mut upstream, request, permit).await;
+        let response = self.exchange(&mut upstream, request, permit).await;
         self.in_flight = false;
-        match answer {
-            Ok(answer) => {
-                self.gateway.pool.keep(upstream);
-                picked.ended(CallResult::Answered);
-                self.weigh(answer)
+        match response {
+            Ok(response) => {
+                self.gateway.pool.release(upstream);
+                selected.finish(CallResult::Answered);
+                self.check_server_error(response)
             }
             Err(outcome) => {
-                let said = outcome == SendOutcome::SaidNotRun;
-                picked.ended(if said { CallResult::Answered } else { CallResult::Failed });
+                let was_rejected = outcome == SendOutcome::SaidNotRun;
+                selected.finish(if was_rejected { CallResult::Answered } else { CallResult::Failed });
                 Err(outcome)
             }
         }
     }
 
-    /// Sends a request, and reads its whole answer.
+    /// Sends a request and reads the complete response.
     async fn exchange(
         &mut self,
         upstream: &mut Upstream,
         request: Request<Full<Bytes>>,
         mut permit: SendPermit,
-    ) -> Result<ServerAnswer, SendOutcome> {
+    ) -> Result<ServerResponse, SendOutcome> {
         let pool = &self.gateway.pool;
         let address = upstream.address();
         let Ok(response) = upstream.send(request, &permit).await else {
-            return Err(pool.broken(address).await);
+            return Err(pool.broken_connection_outcome(address).await);
         };
-        let head = take_head(self.gateway, self.received, &mut self.account, &mut permit, response);
+        let head = evaluate_head(self.gateway, self.received, &mut self.request_log, &mut permit, response);
         drop(permit);
         let (parts, body) = head?;
-        let Ok(body) = read_whole(body, MOST_ANSWER_BYTES).await else {
-            return Err(pool.broken(address).await);
+        let Ok(body) = read_body(body, MAX_RESPONSE_BYTES).await else {
+            return Err(pool.broken_connection_outcome(address).await);
         };
-        Ok(ServerAnswer { status: parts.status, headers: end_to_end(&parts.headers), body })
+        Ok(ServerResponse { status: parts.status, headers: end_to_end(&parts.headers), body })
     }
 
-    /// A server's own failure is worth another server where the request may run again.
-    fn weigh(&mut self, answer: ServerAnswer) -> Result<ServerAnswer, SendOutcome> {
-        if answer.status.is_server_error() && self.course.may_move() {
-            self.kept = Some(answer);
+    /// Treats a server error as a failed send if the request may be sent to another server.
+    fn check_server_error(&mut self, response: ServerResponse) -> Result<ServerResponse, SendOutcome> {
+        if response.status.is_server_error() && self.attempts.may_move() {
+            self.last_error = Some(response);
             return Err(SendOutcome::Failed);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
-/// A request as it goes to one server.
-pub fn request_for(
+/// Creates the request to one server.
+pub fn server_request(
     gateway: &Gateway,
-    received: &Received,
+    received: &ReceivedRequest,
     instance: &str,
     last_event: Option<u64>,
 ) -> Option<Request<Full<Bytes>>> {
     let mut headers = received.headers.clone();
-    let told = ServerHeaders {
-        deadline_ms: received.left_ms(),
+    let values = ServerHeaders {
+        deadline_ms: received.remaining_ms(),
         instance,
         tenant: received.tenant.as_deref(),
         rank: received.service.engine.is_some().then_some(received.rank),
         last_event,
     };
-    add_for_server(&mut headers, gateway.dialect.headers(), &told);
+    add_server_headers(&mut headers, gateway.dialect.headers(), &values);
     let path = received.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut request = Request::new(Full::new(received.body.clone()));
     *request.method_mut() = received.method.clone();
--- a/crates/daemon/src/gateway/regions.rs
+++ b/crates/daemon/src/gateway/regions.rs
@@ -1,8 +1,8 @@
-//! Regions of the deployment's zones, and what follows from them for requests whose route or tenant names regions.
+//! Regions of the deployment's zones, and restrictions of requests to the regions that their route or tenant allows.
 
 use super::Gateway;
 use super::evacuation::no_server_code;
-use super::receive::{Received, Refusal};
+use super::receive::{ReceivedRequest, Refusal};
 use crate::settings::Settings;
 use crate::shared::Shared;
 use dockwood_api::ResultCode;
@@ -11,7 +11,7 @@
 use dockwood_routing::gateway::{AllowedRegions, AllowedZones};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The region of a zone, as far as the settings tell.
+/// Returns the region of a zone; `None` if it is not in the settings.
 pub fn region_of<'a>(shared: &'a Shared, zone: &str) -> Option<&'a str> {
     zone_regions(&shared.settings)?.get(zone).map(String::as_str)
 }
@@ -20,9 +20,9 @@
     settings.gateway.as_ref().map(|gateway| &gateway.zone_regions)
 }
 
-/// The zones whose servers may take a request. Refused where there is no such zone: only another configuration, or
-/// other settings, would mend that, so no time to come back is told.
-pub fn zones_of(gateway: &Gateway, regions: &AllowedRegions) -> Result<AllowedZones, Refusal> {
+/// Returns the zones in which a request may run. If there is none, the request is refused without a retry time, because
+/// only another configuration or other settings would change that.
+pub fn allowed_zones(gateway: &Gateway, regions: &AllowedRegions) -> Result<AllowedZones, Refusal> {
     let unknown = BTreeMap::new();
     let zones = regions.zones(zone_regions(&gateway.shared.settings).unwrap_or(&unknown));
     if zones.are_none() {
@@ -32,21 +32,21 @@
     Ok(zones)
 }
 
-/// What the caller is told where no server takes its request.
-pub fn none_serves(gateway: &Gateway, received: &Received) -> ResultCode {
+/// Returns the result code for a request that no server can take.
+pub fn no_server_in_zones_code(gateway: &Gateway, received: &ReceivedRequest) -> ResultCode {
     let code = no_server_code(&gateway.shared.tables().gateway, &received.service.name, &received.zones);
-    let is_bound = code == ResultCode::NoServer && received.zones.are_restricted();
-    if is_bound { ResultCode::NoServerInRegion } else { code }
+    let is_region_restricted = code == ResultCode::NoServer && received.zones.are_restricted();
+    if is_region_restricted { ResultCode::NoServerInRegion } else { code }
 }
 
-/// Regions that the configuration names and no zone has, to tell of each change of them once.
+/// Regions that the configuration names but no zone belongs to. Each change of this set is recorded once.
 #[derive(Debug, Default)]
 pub struct UnknownRegions {
-    told: BTreeSet<String>,
+    reported: BTreeSet<String>,
 }
 
 impl UnknownRegions {
-    /// Takes a configuration. It is in force all the same: the region's zones may be added later.
+    /// Checks a new configuration. It takes effect in any case, because zones of these regions may be added later.
     pub fn follow(&mut self, shared: &Shared, configuration: &GatewayConfiguration) {
         let known: BTreeSet<&String> =
             zone_regions(&shared.settings).into_iter().flat_map(BTreeMap::values).collect();
@@ -54,12 +54,12 @@
         let by_tenant = configuration.tenants.iter().flat_map(|tenant| &tenant.allowed_regions);
         let unknown: BTreeSet<String> =
             by_route.chain(by_tenant).filter(|region| !known.contains(region)).cloned().collect();
-        if unknown != self.told && !unknown.is_empty() {
+        if unknown != self.reported && !unknown.is_empty() {
             let names = unknown.iter().map(String::as_str).collect::<Vec<&str>>().join(", ");
             let message = format!("no zone lies in {names}; requests that may run there only are refused");
             let subject = Subject::new("configuration", configuration.version.to_string());
             shared.timeline.record(subject, "RegionsUnknown", &message, None, ResultCode::NoServerInRegion);
         }
-        self.told = unknown;
+        self.reported = unknown;
     }
 }
--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/request_log.rs
@@ -1,4 +1,4 @@
-//! What is told of one request: everything that was decided on it, in one line once it has ended.
+//! The log line of a request, which records all decisions on it. It is written when the request ends.
 
 use super::Gateway;
 use crate::clock::monotonic_ms;
@@ -12,24 +12,25 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// A request from its arrival to its end. Dropped without an end, it tells that its caller has left.
-pub struct RequestAccount {
+/// Record of a request from its arrival to its end. If it is dropped before [`RequestLog::end`] was called, the line says
+/// that the caller has left.
+pub struct RequestLog {
     gateway: Arc<Gateway>,
     arrived: Instant,
-    about: About,
+    info: RequestInfo,
     waited_ms: u64,
     first_event_ms: Option<u64>,
     last_event_ms: u64,
     longest_pause_ms: Option<u64>,
     sends: Vec<SendLine>,
-    held: Vec<String>,
+    held_servers: Vec<String>,
     ended: Option<ResultCode>,
 }
 
-/// What a request was found to be.
+/// Properties of a request, known once it has been read.
 #[derive(Clone, Debug, Default)]
-pub struct About {
-    /// The caller's attempt id.
+pub struct RequestInfo {
+    /// Attempt id from the caller.
     pub attempt: Option<String>,
     /// Tenant.
     pub tenant: Option<String>,
@@ -39,47 +40,47 @@
     pub service: Option<String>,
     /// Model.
     pub model: Option<String>,
-    /// The time that it had, in milliseconds.
+    /// Time allowed for the request, in milliseconds.
     pub allowed_ms: u64,
-    /// Tokens of its prompt, as far as they are told.
+    /// Number of prompt tokens; 0 if the caller did not state it.
     pub prompt_tokens: u64,
-    /// What it is recognised by when it comes again.
+    /// Fingerprint by which retries of the request are recognized.
     pub fingerprint: Option<Fingerprint>,
 }
 
-impl RequestAccount {
-    /// A request that has just arrived.
+impl RequestLog {
+    /// Creates the record of a request that has just arrived.
     pub fn new(gateway: Arc<Gateway>) -> Self {
-        RequestAccount {
+        RequestLog {
             gateway,
             arrived: Instant::now(),
-            about: About::default(),
+            info: RequestInfo::default(),
             waited_ms: 0,
             first_event_ms: None,
             last_event_ms: 0,
             longest_pause_ms: None,
             sends: Vec::new(),
-            held: Vec::new(),
+            held_servers: Vec::new(),
             ended: None,
         }
     }
 
-    /// Notes what the request was found to be.
-    pub fn describe(&mut self, about: About) {
-        self.about = about;
+    /// Sets the properties of the request.
+    pub fn set_info(&mut self, info: RequestInfo) {
+        self.info = info;
     }
 
     fn elapsed_ms(&self) -> u64 {
         self.arrived.elapsed().as_millis() as u64
     }
 
-    /// Notes a wait for a place that began at `since`.
-    pub fn waited(&mut self, since: Instant) {
+    /// Adds the time spent waiting for a place since `since`.
+    pub fn add_wait(&mut self, since: Instant) {
         self.waited_ms += since.elapsed().as_millis() as u64;
     }
 
-    /// Notes that it is sent to a server.
-    pub fn sent(&mut self, instance: &str, epoch: Option<u64>, chosen_by: Option<ChosenBy>) {
+    /// Records a send to a server.
+    pub fn record_send(&mut self, instance: &str, epoch: Option<u64>, chosen_by: Option<ChosenBy>) {
         self.sends.push(SendLine {
             instance: instance.to_string(),
             epoch,
@@ -93,8 +94,8 @@
         });
     }
 
-    /// Notes what the head of the answer to the last send says.
-    pub fn head_received(&mut self, signals: &AnswerSignals) {
+    /// Records the pushback signals in the response head of the last send.
+    pub fn record_head(&mut self, signals: &AnswerSignals) {
         let Some(last) = self.sends.last_mut() else { return };
         last.status = Some(signals.status);
         last.retry_after_ms = signals.pushback_ms();
@@ -102,8 +103,8 @@
         last.limit_per_second = signals.limit.rate().map(RequestRate::per_second);
     }
 
-    /// Notes that the last send did not bring the answer.
-    pub fn send_ended(&mut self, outcome: SendOutcome) {
+    /// Records the outcome of the last send if it brought no response to forward.
+    pub fn record_outcome(&mut self, outcome: SendOutcome) {
         if outcome == SendOutcome::ServerEnded {
             self.gateway.shared.metrics.sends_server_ended.inc();
         }
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Notes servers that would have taken it, and rest or leave.
-    pub fn held(&mut self, servers: Vec<String>) {
-        self.held = servers;
+    /// Records the servers that were not selected because they are on hold.
+    pub fn set_held_servers(&mut self, servers: Vec<String>) {
+        self.held_servers = servers;
     }
 
-    /// Notes that an event was passed on.
-    pub fn event_passed(&mut self) {
+    /// Records that an event was forwarded to the caller.
+    pub fn record_event(&mut self) {
         let now_ms = self.elapsed_ms();
         match self.first_event_ms {
             None => self.first_event_ms = Some(now_ms),
@@ -130,13 +131,13 @@
         self.last_event_ms = now_ms;
     }
 
-    /// Notes how it ended; the first end counts.
+    /// Records the result code; only the first call has an effect.
     pub fn end(&mut self, code: ResultCode) {
         self.ended.get_or_insert(code);
     }
 }
 
-impl Drop for RequestAccount {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         let code = self.ended.unwrap_or(ResultCode::CallerLeft);
         let shared = &self.gateway.shared;
@@ -153,28 +154,28 @@
             return;
         };
         shared.metrics.request_lines_written.inc();
-        let about = &self.about;
-        let has_model = about.model.is_some();
+        let info = &self.info;
+        let has_model = info.model.is_some();
         let line = RequestLine {
-            request: about.attempt.as_deref().unwrap_or_default(),
+            request: info.attempt.as_deref().unwrap_or_default(),
             code: code.number(),
             code_name: code.name(),
-            tenant: about.tenant.as_deref(),
-            route: about.route.as_deref(),
-            service: about.service.as_deref(),
-            model: about.model.as_deref(),
-            fingerprint: about.fingerprint.map(|fingerprint| fingerprint.to_string()),
+            tenant: info.tenant.as_deref(),
+            route: info.route.as_deref(),
+            service: info.service.as_deref(),
+            model: info.model.as_deref(),
+            fingerprint: info.fingerprint.map(|fingerprint| fingerprint.to_string()),
             configuration: self.gateway.routes.load().version,
             lease_left_ms: shared.lease_left_ms(),
             places_age_ms: has_model.then(|| self.gateway.loads.age_of_grants(now)),
             took_ms: self.elapsed_ms(),
-            allowed_ms: about.allowed_ms,
+            allowed_ms: info.allowed_ms,
             waited_ms: self.waited_ms,
             first_event_ms: self.first_event_ms,
             longest_pause_ms: self.longest_pause_ms,
-            prompt_tokens: has_model.then_some(about.prompt_tokens),
+            prompt_tokens: has_model.then_some(info.prompt_tokens),
             sends: &self.sends,
-            servers_held: &self.held,
+            servers_held: &self.held_servers,
             held_back,
         };
         logging::write(&shared.settings.name, LineBody::Request(line));
--- /dev/null
+++ b/crates/daemon/src/gateway/response_head.rs
@@ -0,0 +1,64 @@
+//! Evaluates the head of a server's response: pushback signals, and whether the response may be forwarded.
+
+use super::Gateway;
+use super::receive::ReceivedRequest;
+use super::request_log::RequestLog;
+use crate::dialect::HeaderNames;
+use crate::pushback::{SendPermit, signals_of};
+use dockwood_routing::gateway::SendOutcome;
+use hyper::header::HeaderMap;
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode};
+
+/// Evaluates the head of the response to a request that was sent under a permit. The pushback signals are recorded first,
+/// whether or not the response can be forwarded.
+///
+/// # Errors
+/// The outcome of the send, if there is no response to forward.
+pub fn evaluate_head<Body>(
+    gateway: &Gateway,
+    received: &ReceivedRequest,
+    request_log: &mut RequestLog,
+    permit: &mut SendPermit,
+    response: Response<Body>,
+) -> Result<(Parts, Body), SendOutcome> {
+    let (parts, body) = response.into_parts();
+    let names = gateway.dialect.headers();
+    let signals = signals_of(parts.status, &parts.headers, &names.signals);
+    request_log.record_head(&signals);
+    // Another server responded in place of the expected one; its signals do not apply to that one.
+    if parts.status != StatusCode::MISDIRECTED_REQUEST {
+        permit.record_response(&signals, received.attempt.as_deref().unwrap_or_default());
+    }
+    if !matches_attempt(&parts.headers, names, received) {
+        return Err(SendOutcome::Unknown);
+    }
+    if says_not_run(parts.status, &parts.headers, names) {
+        return Err(SendOutcome::SaidNotRun);
+    }
+    if falsely_implies_not_run(parts.status, received) {
+        return Err(SendOutcome::Unknown);
+    }
+    Ok((parts, body))
+}
+
+/// Returns whether a response belongs to the request: servers echo the attempt id.
+fn matches_attempt(headers: &HeaderMap, names: &HeaderNames, received: &ReceivedRequest) -> bool {
+    let echoed = headers.get(names.attempt).and_then(|value| value.to_str().ok());
+    received.attempt.is_none() || echoed == received.attempt.as_deref()
+}
+
+/// Returns whether a response states that the request did not run.
+fn says_not_run(status: StatusCode, headers: &HeaderMap, names: &HeaderNames) -> bool {
+    status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key(names.not_run)
+}
+
+/// Returns whether a response must not be forwarded because of its status: callers interpret the status as a guarantee that
+/// the request has not run and won't, and the server did not state that. Repeatable requests need no such guarantee.
+fn falsely_implies_not_run(status: StatusCode, received: &ReceivedRequest) -> bool {
+    let implies_not_run = matches!(
+        status,
+        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
+    );
+    implies_not_run && !received.route.is_repeatable()
+}
--- a/crates/daemon/src/gateway/targets.rs
+++ b/crates/daemon/src/gateway/server_selection.rs
@@ -1,8 +1,8 @@
-//! Servers of plain services: which one takes a request.
+//! Selection of a server of a plain service.
 
 use super::Gateway;
-use super::receive::Received;
-use super::regions::none_serves;
+use super::receive::ReceivedRequest;
+use super::regions::no_server_in_zones_code;
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::pushback::{HeldServers, Unavailable, start_of};
@@ -15,27 +15,27 @@
 use dockwood_state::{GatewayTables, InstanceRow, Tables};
 use std::sync::Arc;
 
-/// A server that was picked; the pick is counted until its result is told.
-pub struct Picked {
+/// A server that was selected; it counts as a request in flight until it is dropped.
+pub struct SelectedServer {
     gateway: Arc<Gateway>,
-    /// The server.
+    /// Row of the server.
     pub row: Arc<InstanceRow>,
-    /// Nothing may be sent from then on; `None` if the pick may be used at any time.
+    /// The selection expires at this time; `None` if it does not expire.
     pub valid_until: Option<Millis>,
     result: Option<CallResult>,
     servers: usize,
 }
 
-impl Picked {
-    /// Notes how the call ended.
-    pub fn ended(mut self, result: CallResult) {
+impl SelectedServer {
+    /// Ends the selection with the result of the call.
+    pub fn finish(mut self, result: CallResult) {
         self.result = Some(result);
     }
 }
 
-impl Drop for Picked {
+impl Drop for SelectedServer {
     fn drop(&mut self) {
-        // A call that its caller gave up tells nothing against the server.
+        // A call that was abandoned by its caller does not count as a failure of the server.
         let result = self.result.unwrap_or(CallResult::Answered);
         if let Some(picker) = lock(&self.gateway.pickers).get_mut(&self.row.service) {
             picker.finished(monotonic_ms(), &self.row.id, result, self.servers);
@@ -43,9 +43,9 @@
     }
 }
 
-/// Which servers of a service may take a request now, with what this entry may send them while they are cold. Warm ones
-/// where there are any: cold ones are slow, and bear little.
-fn open_servers<'a>(
+/// Returns the ready servers that may be sent a request now, with this entry's rate for them if the service limits sends to
+/// cold servers. Only warm servers are returned if there are any, because cold ones are slow and can process few requests.
+fn sendable_servers<'a>(
     gateway: &Gateway,
     tables: &Tables,
     cold_start: Option<&ColdStart>,
@@ -62,12 +62,12 @@
     }
     let with_rate =
         |row: &'a Arc<InstanceRow>| (row, gateway.cold.cold_rate(tables, cold_start, &row.id, entry));
-    let open =
+    let sendable =
         cold.into_iter().map(with_rate).filter(|(row, rate)| gateway.cold.may_give(now, &row.id, *rate));
-    open.map(|(row, rate)| (row, Some(rate))).collect()
+    sendable.map(|(row, rate)| (row, Some(rate))).collect()
 }
 
-/// Servers of a service that may run the request.
+/// Returns the ready servers of a service in the allowed zones that are not evacuated.
 fn ready_servers<'a>(
     tables: &'a GatewayTables,
     service: &str,
@@ -78,9 +78,9 @@
     tables.instances.values().filter(|row| may_run(row) && is_ready(row)).collect()
 }
 
-/// Those of a service's servers that may be asked and were not tried yet; else those that rest or leave, where that is why
-/// there is none.
-fn not_held<'a>(
+/// Returns the ready servers that are not on hold and have not been tried yet; `Err` with the servers on hold if they are the
+/// reason that there is none.
+fn servers_without_hold<'a>(
     gateway: &Gateway,
     ready: Vec<&'a Arc<InstanceRow>>,
     tried: &[String],
@@ -90,45 +90,45 @@
     if others.is_empty() && !held.is_empty() { Err(held) } else { Ok(others) }
 }
 
-/// Picks a server for a request, none of `passed_over`: for a suspect, in a zone where no server has ended under it if
-/// there is one; else why there is none.
-pub fn pick_for(
+/// Selects a server for a request, other than the excluded ones. For a suspect, zones in which it has crashed no server are
+/// preferred. `Err` with the reason if there is none.
+pub fn select_server(
     gateway: &Arc<Gateway>,
-    received: &Received,
+    received: &ReceivedRequest,
     gate: &SuspectGate,
     is_suspect: bool,
-    passed_over: &[String],
-) -> Result<Picked, Unavailable> {
+    excluded: &[String],
+) -> Result<SelectedServer, Unavailable> {
     let (service, zones) = (&received.service, &received.zones);
-    let elsewhere = gate.zones_without_crashes(is_suspect, zones);
-    let picked = elsewhere.and_then(|zones| pick(gateway, service, &zones, passed_over).ok());
-    let picked = picked.map_or_else(|| pick(gateway, service, zones, passed_over), Ok);
-    picked.map_err(|unavailable| match unavailable {
+    let other_zones = gate.zones_without_crashes(is_suspect, zones);
+    let selected = other_zones.and_then(|zones| select_from_zones(gateway, service, &zones, excluded).ok());
+    let selected = selected.map_or_else(|| select_from_zones(gateway, service, zones, excluded), Ok);
+    selected.map_err(|unavailable| match unavailable {
         Unavailable { code: ResultCode::NoServer, held, .. } => {
-            Unavailable { held, ..none_serves(gateway, received).into() }
+            Unavailable { held, ..no_server_in_zones_code(gateway, received).into() }
         }
         other => other,
     })
 }
 
-/// Picks a server of a service that may run the request and was not tried yet; else why there is none.
-fn pick(
+/// Selects a server of a service in the allowed zones that has not been tried yet; `Err` with the reason if there is none.
+fn select_from_zones(
     gateway: &Arc<Gateway>,
     service: &ServiceProfile,
     zones: &AllowedZones,
     tried: &[String],
-) -> Result<Picked, Unavailable> {
+) -> Result<SelectedServer, Unavailable> {
     let tables = gateway.shared.tables();
     let instances = &tables.gateway.instances;
     let cold_start = tables.gateway.cold_start(&service.name);
     let ready = ready_servers(&tables.gateway, &service.name, zones);
-    let ready = not_held(gateway, ready, tried).map_err(HeldServers::refused)?;
-    let open = open_servers(gateway, &tables, cold_start.as_ref(), &ready);
-    if open.is_empty() && !ready.is_empty() {
+    let ready = servers_without_hold(gateway, ready, tried).map_err(HeldServers::refused)?;
+    let sendable = sendable_servers(gateway, &tables, cold_start.as_ref(), &ready);
+    if sendable.is_empty() && !ready.is_empty() {
         gateway.shared.metrics.cold_limited.with_label_values(&["noShare"]).inc();
         return Err(ResultCode::Overloaded.into());
     }
-    let eligible: Vec<&str> = open.iter().map(|(row, _)| row.id.as_str()).collect();
+    let eligible: Vec<&str> = sendable.iter().map(|(row, _)| row.id.as_str()).collect();
     let random = [rand::random(), rand::random()];
     let mut pickers = lock(&gateway.pickers);
     let picker = pickers.entry(service.name.clone()).or_default();
@@ -138,8 +138,8 @@
         .pick(monotonic_ms(), &eligible, service.max_connections, random)
         .ok_or(ResultCode::NoServer)?;
     drop(pickers);
-    let (row, rate) = open.iter().find(|(row, _)| row.id == id).ok_or(ResultCode::NoServer)?;
-    let mut picked = Picked {
+    let (row, rate) = sendable.iter().find(|(row, _)| row.id == id).ok_or(ResultCode::NoServer)?;
+    let mut selected = SelectedServer {
         gateway: gateway.clone(),
         row: (*row).clone(),
         valid_until: None,
@@ -148,11 +148,11 @@
     };
     if let Some(rate) = rate {
         let now = monotonic_ms();
-        // Another request may have got this turn since it was looked for.
+        // Another request may have used this share in the meantime.
         if !gateway.cold.try_give(now, &id, *rate) && row.is_cold {
             return Err(ResultCode::Overloaded.into());
         }
-        picked.valid_until = Some(now + grant_valid_ms(row.is_cold));
+        selected.valid_until = Some(now + grant_valid_ms(row.is_cold));
     }
-    Ok(picked)
+    Ok(selected)
 }
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -1,64 +1,64 @@
-//! Where a stream comes from: a place at a group, or a server of a plain service.
+//! The source of a stream: a place at a group, or a server of a plain service.
 
 use super::Gateway;
 use super::loads::GroupPlace;
-use super::targets::Picked;
+use super::server_selection::SelectedServer;
 use crate::log_line::ChosenBy;
 use crate::pushback::SendTarget;
 use std::net::SocketAddr;
 
-/// Where a stream comes from.
+/// The source of a stream.
 pub enum Source {
     /// A place at a group.
     Group(GroupPlace),
     /// A server of a plain service.
-    Server(Picked),
+    Server(SelectedServer),
 }
 
 impl Source {
-    /// Whether a request may be written to it now. To be asked at that very moment: the process may have been stopped
-    /// since the source was chosen.
-    pub fn may_be_sent(&self, gateway: &Gateway, service: &str) -> bool {
+    /// Returns whether a request may be written to it now. Must be called immediately before writing: the process may have
+    /// been suspended since the source was selected.
+    pub fn may_send(&self, gateway: &Gateway, service: &str) -> bool {
         let (is_cold, valid_until) = match self {
             Source::Group(place) => (place.is_cold, place.valid_until),
-            Source::Server(picked) => (picked.row.is_cold, picked.valid_until),
+            Source::Server(server) => (server.row.is_cold, server.valid_until),
         };
         gateway.cold.may_send(&gateway.shared.metrics, service, self.instance(), is_cold, valid_until)
     }
 
-    /// Address of the server that is sent the request.
+    /// Returns the address of the server that the request is sent to.
     pub fn address(&self) -> SocketAddr {
         match self {
             Source::Group(place) => place.head,
-            Source::Server(picked) => picked.row.address,
+            Source::Server(server) => server.row.address,
         }
     }
 
-    /// Its instance id.
+    /// Returns the server's instance id.
     pub fn instance(&self) -> &str {
         match self {
-            Source::Group(place) => &place.addressee.start.id,
-            Source::Server(picked) => &picked.row.id,
+            Source::Group(place) => &place.target.start.id,
+            Source::Server(server) => &server.row.id,
         }
     }
 
-    /// The server that is sent the request, as what is sent to it is answered for.
-    pub fn addressee(&self) -> SendTarget {
+    /// Returns the server as the target of a send permit.
+    pub fn target(&self) -> SendTarget {
         match self {
-            Source::Group(place) => place.addressee.clone(),
-            Source::Server(picked) => SendTarget::instance(&picked.row),
+            Source::Group(place) => place.target.clone(),
+            Source::Server(server) => SendTarget::instance(&server.row),
         }
     }
 
-    /// Its zone.
+    /// Returns the server's zone.
     pub fn zone(&self) -> &str {
         match self {
             Source::Group(place) => &place.zone,
-            Source::Server(picked) => &picked.row.zone,
+            Source::Server(server) => &server.row.zone,
         }
     }
 
-    /// Who chose it, if it is a group.
+    /// Returns who selected it, if it is a group.
     pub fn chosen_by(&self) -> Option<ChosenBy> {
         match self {
             Source::Group(place) => Some(place.chosen_by),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Epoch of its group, if it heads one.
+    /// Returns the epoch of the group, if it is one.
     pub fn epoch(&self) -> Option<u64> {
         match self {
             Source::Group(place) => Some(place.epoch),
--- a/crates/daemon/src/gateway/stalls.rs
+++ b/crates/daemon/src/gateway/stalls.rs
@@ -1,4 +1,4 @@
-//! When the source of a stream counts as standing still.
+//! Detection of stalled stream sources.
 
 use super::Gateway;
 use super::source::Source;
@@ -7,52 +7,52 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Pause between two looks at whether a group moves on with others.
-const PROGRESS_PAUSE: Duration = Duration::from_millis(50);
-/// A group that has shown an event to any stream here within this many milliseconds is at work.
-const PROGRESS_SPAN_MS: u64 = 150;
+/// Interval at which a group's progress on other streams is checked.
+const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A group that has sent an event on any stream of this entry within this time is working, in milliseconds.
+const PROGRESS_WINDOW_MS: u64 = 150;
 
-/// Notes that a group stood still.
-pub fn abandon(gateway: &Gateway, source: &Source) -> SendOutcome {
+/// Records that a group has stalled, and returns the outcome of the send.
+pub fn abandon_stalled(gateway: &Gateway, source: &Source) -> SendOutcome {
     if let Source::Group(place) = source {
-        gateway.loads.suspect(place.epoch, false);
+        gateway.loads.suspect_group(place.epoch, false);
     }
     SendOutcome::Abandoned
 }
 
-/// How a send ended whose connection broke. A head whose process has ended is avoided from now on, and the control
-/// leader is told that it refuses connections.
-pub async fn broken(gateway: &Gateway, source: &Source) -> SendOutcome {
-    let outcome = gateway.pool.broken(source.address()).await;
+/// Returns the outcome of a send whose connection broke. A group whose head process is gone is avoided from now on, and the
+/// control leader is told that the head refuses connections.
+pub async fn broken_connection_outcome(gateway: &Gateway, source: &Source) -> SendOutcome {
+    let outcome = gateway.pool.broken_connection_outcome(source.address()).await;
     if let (SendOutcome::ServerEnded, Source::Group(place)) = (outcome, source) {
-        gateway.loads.suspect(place.epoch, true);
+        gateway.loads.suspect_group(place.epoch, true);
     }
     outcome
 }
 
-/// Completes once the source counts as standing still, which has shown nothing since `since`. Once it is suspicious the
-/// group is avoided for new requests and its members are asked; some time later, or as soon as the group is closed,
-/// this request moves on.
-pub async fn stands_still(
+/// Completes once the source counts as stalled; it has sent nothing since `since`. After the suspicion timeout, the group is
+/// avoided for new requests and its members are probed. After the grace period, or as soon as the group is closed, this
+/// request is moved to another source.
+pub async fn wait_for_stall(
     gateway: &Gateway,
     source: &Source,
     since: Instant,
-    silence: Option<StallTimeout>,
+    timeout: Option<StallTimeout>,
     changes: &mut watch::Receiver<u64>,
 ) {
-    let (Source::Group(place), Some(silence)) = (source, silence) else {
+    let (Source::Group(place), Some(timeout)) = (source, timeout) else {
         return std::future::pending().await;
     };
-    let silent = async {
-        let suspicious_at = since + Duration::from_millis(silence.suspect_after_ms);
-        tokio::time::sleep_until(suspicious_at).await;
-        if !gateway.loads.progressed_within(place.epoch, silence.suspect_after_ms) {
-            gateway.loads.suspect(place.epoch, false);
+    let timed_out = async {
+        let suspected_at = since + Duration::from_millis(timeout.suspect_after_ms);
+        tokio::time::sleep_until(suspected_at).await;
+        if !gateway.loads.progressed_within(place.epoch, timeout.suspect_after_ms) {
+            gateway.loads.suspect_group(place.epoch, false);
         }
-        tokio::time::sleep_until(suspicious_at + Duration::from_millis(silence.grace_ms)).await;
-        // Where the group goes on with others, this request may rightly wait for its turn.
-        while gateway.loads.progressed_within(place.epoch, PROGRESS_SPAN_MS) {
-            tokio::time::sleep(PROGRESS_PAUSE).await;
+        tokio::time::sleep_until(suspected_at + Duration::from_millis(timeout.grace_ms)).await;
+        // If the group makes progress on other streams, this request may just be queued.
+        while gateway.loads.progressed_within(place.epoch, PROGRESS_WINDOW_MS) {
+            tokio::time::sleep(PROGRESS_POLL_INTERVAL).await;
         }
     };
     let closed = async {
@@ -63,7 +63,7 @@
         }
     };
     tokio::select! {
-        () = silent => {}
+        () = timed_out => {}
         () = closed => {}
     }
 }
--- a/crates/daemon/src/gateway/stream/reading.rs
+++ b/crates/daemon/src/gateway/stream/reading.rs
@@ -1,9 +1,9 @@
-//! Reading a stream: whole events as they arrive, until it is complete, breaks or stands still.
+//! Reads a stream event by event until it is complete, breaks or stalls.
 
-use super::{Reading, Step, StreamCourse};
+use super::{OpenStream, ReadResult, StreamRequest};
 use crate::gateway::Gateway;
 use crate::gateway::source::Source;
-use crate::gateway::stalls::{abandon, broken, stands_still};
+use crate::gateway::stalls::{abandon_stalled, broken_connection_outcome, wait_for_stall};
 use bytes::Bytes;
 use dockwood_api::ResultCode;
 use dockwood_routing::CallResult;
@@ -11,25 +11,25 @@
 use http_body_util::BodyExt;
 use tokio::time::Instant;
 
-impl StreamCourse {
-    /// Reads on to the next whole event.
-    pub(super) async fn step(&mut self) -> Step {
-        let may_move = self.course.may_move();
-        let (since, silence) = (self.since, self.silence());
+impl StreamRequest {
+    /// Reads up to the next complete event.
+    pub(super) async fn step(&mut self) -> ReadResult {
+        let may_move = self.attempts.may_move();
+        let (last_progress, stall_timeout) = (self.last_progress, self.stall_timeout());
         loop {
             if let Some(event) = self.next_event() {
-                return Step::Event(self.pass_on(event));
+                return ReadResult::Event(self.forward(event));
             }
-            let Some(reading) = &mut self.reading else { return Step::Broken(SendOutcome::NotSent) };
+            let Some(reading) = &mut self.reading else { return ReadResult::Broken(SendOutcome::NotSent) };
             let frame = tokio::select! {
                 frame = reading.body.frame() => frame,
-                () = stands_still(&self.gateway, &reading.source, since, silence, &mut self.changes),
+                () = wait_for_stall(&self.gateway, &reading.source, last_progress, stall_timeout, &mut self.changes),
                     if may_move =>
                 {
-                    let outcome = abandon(&self.gateway, &reading.source);
-                    return Step::Broken(outcome);
+                    let outcome = abandon_stalled(&self.gateway, &reading.source);
+                    return ReadResult::Broken(outcome);
                 }
-                () = tokio::time::sleep_until(self.received.deadline) => return Step::OutOfTime,
+                () = tokio::time::sleep_until(self.received.deadline) => return ReadResult::OutOfTime,
             };
             match frame {
                 Some(Ok(frame)) => {
@@ -39,58 +39,62 @@
                 }
                 None if reading.splitter.is_clean() => return self.complete(),
                 Some(Err(_)) | None => {
-                    return Step::Broken(broken(&self.gateway, &reading.source).await);
+                    return ReadResult::Broken(
+                        broken_connection_outcome(&self.gateway, &reading.source).await,
+                    );
                 }
             }
         }
     }
 
-    /// A whole event that has arrived and that the caller doesn't have: a resumed stream may begin with what it has.
+    /// Takes the next complete event from the buffer, without events that the caller already has: a resumed stream may begin
+    /// with them.
     fn next_event(&mut self) -> Option<StreamEvent> {
         let reading = self.reading.as_mut()?;
-        let (begun, last_event) = (self.begun, self.last_event);
-        let is_known = |event: &StreamEvent| event.id.is_some() && event.id <= last_event && begun;
-        std::iter::from_fn(|| reading.splitter.next_event()).find(|event| !is_known(event))
+        let (has_forwarded, last_event) = (self.has_forwarded, self.last_event);
+        let is_duplicate =
+            |event: &StreamEvent| event.id.is_some() && event.id <= last_event && has_forwarded;
+        std::iter::from_fn(|| reading.splitter.next_event()).find(|event| !is_duplicate(event))
     }
 
-    /// Notes an event, and returns what the caller is sent.
-    fn pass_on(&mut self, event: StreamEvent) -> Bytes {
-        let took_ms = self.since.elapsed().as_secs_f64() * 1_000.0;
+    /// Records an event, and returns the bytes to forward.
+    fn forward(&mut self, event: StreamEvent) -> Bytes {
+        let took_ms = self.last_progress.elapsed().as_secs_f64() * 1_000.0;
         if let Some(Source::Group(place)) = self.reading.as_ref().map(|reading| &reading.source) {
-            self.gateway.loads.progressed(place.epoch, (!self.awaits_first).then_some(took_ms));
+            self.gateway.loads.record_progress(place.epoch, (!self.awaits_first_event).then_some(took_ms));
         }
         if let Some(model) = &self.received.model {
-            self.gateway.loads.record_event(model, self.awaits_first, took_ms);
+            self.gateway.loads.record_latency(model, self.awaits_first_event, took_ms);
         }
         self.last_event = event.id.or(self.last_event);
-        self.begun = true;
-        self.awaits_first = false;
+        self.has_forwarded = true;
+        self.awaits_first_event = false;
         self.events += 1;
-        self.account.event_passed();
-        self.since = Instant::now();
+        self.request_log.record_event();
+        self.last_progress = Instant::now();
         event.bytes
     }
 
-    /// Notes the end of a whole stream.
-    fn complete(&mut self) -> Step {
+    /// Records the end of a complete stream.
+    fn complete(&mut self) -> ReadResult {
         if let Some(done) = self.reading.take() {
             done.finish(&self.gateway);
         }
         self.gate.answered();
-        self.account.end(ResultCode::Ok);
+        self.request_log.end(ResultCode::Ok);
         if let Some(model) = &self.received.model {
-            self.gateway.loads.answered(&self.received.service.name, model, self.events);
+            self.gateway.loads.record_response(&self.received.service.name, model, self.events);
         }
-        Step::Complete
+        ReadResult::Complete
     }
 }
 
-impl Reading {
-    /// The stream was read to its end: the connection can be used again.
+impl OpenStream {
+    /// Returns the connection to the pool after the stream was read to its end.
     fn finish(self, gateway: &Gateway) {
-        gateway.pool.keep(self.upstream);
-        if let Source::Server(picked) = self.source {
-            picked.ended(CallResult::Answered);
+        gateway.pool.release(self.upstream);
+        if let Source::Server(selected) = self.source {
+            selected.finish(CallResult::Answered);
         }
     }
 }
--- a/crates/daemon/src/gateway/stream/sending.rs
+++ b/crates/daemon/src/gateway/stream/sending.rs
@@ -1,13 +1,13 @@
-//! One send of a request for a stream: to a group or a server, up to the head of its answer.
+//! One send of a streaming request to a group or a server, up to the head of the response.
 
-use super::{Head, Reading, StreamCourse};
-use crate::gateway::answers::take_head;
-use crate::gateway::body::{AnswerBody, read_whole, whole};
+use super::{Head, OpenStream, StreamRequest};
+use crate::gateway::body::{ResponseBody, full_body, read_body};
 use crate::gateway::evacuation::may_write;
 use crate::gateway::headers::end_to_end;
-use crate::gateway::plain::request_for;
+use crate::gateway::plain::server_request;
+use crate::gateway::response_head::evaluate_head;
 use crate::gateway::source::Source;
-use crate::gateway::stalls::{abandon, broken, stands_still};
+use crate::gateway::stalls::{abandon_stalled, broken_connection_outcome, wait_for_stall};
 use crate::gateway::upstream::{ConnectFault, Upstream};
 use crate::pushback::{SendPermit, SendPurpose};
 use dockwood_api::ResultCode;
@@ -19,63 +19,68 @@
 use tokio::time::Instant;
 
 const EVENT_STREAM: &str = "text/event-stream";
-/// Bodies of answers that are no streams, in bytes.
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of the body of a response that is not a stream, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-impl StreamCourse {
-    /// Sends to one source; on success the stream is being read, or an answer that is no stream is here.
-    pub(super) async fn send(&mut self, source: Source) -> Result<Option<Response<AnswerBody>>, SendOutcome> {
+impl StreamRequest {
+    /// Sends the request to one source. On success, the stream is being read, or a response that is not a stream is returned.
+    pub(super) async fn send(
+        &mut self,
+        source: Source,
+    ) -> Result<Option<Response<ResponseBody>>, SendOutcome> {
         let (instance, epoch) = (source.instance().to_string(), source.epoch());
         match epoch {
             Some(epoch) => self.tried_groups.push(epoch),
             None => self.tried_servers.push(instance.clone()),
         }
-        self.account.sent(&instance, epoch, source.chosen_by());
-        let fresh = !self.received.route.is_repeatable();
-        let mut upstream = match self.gateway.pool.connection(source.address(), fresh).await {
+        self.request_log.record_send(&instance, epoch, source.chosen_by());
+        let needs_new_connection = !self.received.route.is_repeatable();
+        let mut upstream = match self.gateway.pool.connection(source.address(), needs_new_connection).await {
             Ok(upstream) => upstream,
             Err(fault) => {
-                self.unreachable(source, fault);
+                self.record_unreachable(source, fault);
                 return Err(SendOutcome::NotSent);
             }
         };
-        let resume_at = self.begun.then_some(self.last_event).flatten();
-        let request = request_for(&self.gateway, &self.received, &instance, resume_at);
+        let resume_after = self.has_forwarded.then_some(self.last_event).flatten();
+        let request = server_request(&self.gateway, &self.received, &instance, resume_after);
         let Some(request) = request else { return Err(SendOutcome::NotSent) };
         let purpose = SendPurpose::Request { rank: self.received.rank };
-        let permit = SendPermit::acquire(&self.gateway.shared, source.addressee(), purpose).await;
-        // From here on nothing is waited for until the request is written.
-        let is_timely = source.may_be_sent(&self.gateway, &self.received.service.name);
-        let is_its_turn = self.gate.may_write() && self.received.left_ms() > 0;
-        if permit.is_err() || !is_timely || !is_its_turn {
-            // The connection that took too long is there now, and what holds a server back ends.
+        let permit = SendPermit::acquire(&self.gateway.shared, source.target(), purpose).await;
+        // No await between here and writing the request.
+        let is_valid = source.may_send(&self.gateway, &self.received.service.name);
+        let is_admitted = self.gate.may_write() && self.received.remaining_ms() > 0;
+        if permit.is_err() || !is_valid || !is_admitted {
+            // The source may be selected again: its connection is established now, and the hold will end.
             self.tried_groups.retain(|tried| Some(*tried) != epoch);
             self.tried_servers.retain(|tried| *tried != instance);
         }
-        let is_allowed = is_timely && is_its_turn && may_write(&self.gateway, source.zone());
-        let Some(permit) = permit.ok().filter(|_| is_allowed) else {
-            self.gateway.pool.keep(upstream);
+        let may_write_now = is_valid && is_admitted && may_write(&self.gateway, source.zone());
+        let Some(permit) = permit.ok().filter(|_| may_write_now) else {
+            self.gateway.pool.release(upstream);
             return Err(SendOutcome::NotSent);
         };
         let sent_at = Instant::now();
-        self.since = sent_at;
-        self.awaits_first = true;
+        self.last_progress = sent_at;
+        self.awaits_first_event = true;
         let response = tokio::select! {
             response = upstream.send(request, &permit) => match response {
                 Ok(response) => Ok(response),
-                Err(_) => Err(broken(&self.gateway, &source).await),
+                Err(_) => Err(broken_connection_outcome(&self.gateway, &source).await),
             },
-            () = stands_still(&self.gateway, &source, sent_at, self.silence(), &mut self.changes),
-                if self.course.may_move() => Err(abandon(&self.gateway, &source)),
+            () = wait_for_stall(&self.gateway, &source, sent_at, self.stall_timeout(), &mut self.changes),
+                if self.attempts.may_move() => Err(abandon_stalled(&self.gateway, &source)),
             () = tokio::time::sleep_until(self.received.deadline) => Err(SendOutcome::Unknown),
         }?;
         self.take_response(source, upstream, permit, response).await
     }
 
-    fn unreachable(&self, source: Source, fault: ConnectFault) {
+    fn record_unreachable(&self, source: Source, fault: ConnectFault) {
         match source {
-            Source::Group(place) => self.gateway.loads.suspect(place.epoch, fault == ConnectFault::Refused),
-            Source::Server(picked) => picked.ended(CallResult::Failed),
+            Source::Group(place) => {
+                self.gateway.loads.suspect_group(place.epoch, fault == ConnectFault::Refused)
+            }
+            Source::Server(selected) => selected.finish(CallResult::Failed),
         }
     }
 
@@ -85,8 +90,8 @@
         upstream: Upstream,
         mut permit: SendPermit,
         response: Response<Incoming>,
-    ) -> Result<Option<Response<AnswerBody>>, SendOutcome> {
-        let head = take_head(&self.gateway, &self.received, &mut self.account, &mut permit, response);
+    ) -> Result<Option<Response<ResponseBody>>, SendOutcome> {
+        let head = evaluate_head(&self.gateway, &self.received, &mut self.request_log, &mut permit, response);
         drop(permit);
         let (parts, body) = head?;
         let content_type = parts.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
@@ -97,21 +102,21 @@
                 headers.remove(CONTENT_LENGTH);
                 self.head = Some(Head { status: parts.status, headers });
             }
-            self.reading = Some(Reading { source, upstream, body, splitter: EventSplitter::default() });
+            self.reading = Some(OpenStream { source, upstream, body, splitter: EventSplitter::default() });
             return Ok(None);
         }
-        let Ok(body) = read_whole(body, MOST_ANSWER_BYTES).await else {
-            return Err(broken(&self.gateway, &source).await);
+        let Ok(body) = read_body(body, MAX_RESPONSE_BYTES).await else {
+            return Err(broken_connection_outcome(&self.gateway, &source).await);
         };
-        if parts.status.is_server_error() && self.course.may_move() {
+        if parts.status.is_server_error() && self.attempts.may_move() {
             return Err(SendOutcome::Failed);
         }
         if parts.status.is_success() {
             self.gate.answered();
         }
         let failed = parts.status.is_server_error();
-        self.account.end(if failed { ResultCode::BackendFailed } else { ResultCode::Ok });
-        let mut response = Response::new(whole(body));
+        self.request_log.end(if failed { ResultCode::BackendFailed } else { ResultCode::Ok });
+        let mut response = Response::new(full_body(body));
         *response.status_mut() = parts.status;
         *response.headers_mut() = end_to_end(&parts.headers);
         Ok(Some(response))
--- a/crates/daemon/src/gateway/upstream.rs
+++ b/crates/daemon/src/gateway/upstream.rs
@@ -1,7 +1,7 @@
-//! Connections to servers. A connection carries one request at a time; whatever arrives on it that belongs to no
-//! request ends it. It is used again only after a whole answer.
+//! Connections to servers. A connection carries one request at a time, and is closed if it receives data that belongs to no
+//! request. It is reused only after a complete response.
 //!
-//! hyper is used directly: `reqwest` doesn't show whether a request reached its connection, and can't end a connection
+//! hyper is used directly: `reqwest` doesn't report whether a request reached its connection, and can't close a connection
 //! together with its request.
 
 use crate::lock::lock;
@@ -21,25 +21,25 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long a connection may take to be made.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-/// A connection that has rested longer than this is not used again: servers close theirs after some time.
-const REST_LIMIT: Duration = Duration::from_millis(1_500);
-/// Resting connections kept for one server.
-const RESTING_PER_SERVER: usize = 4;
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// A connection that has been idle for longer than this is not reused, because servers close idle connections.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 4;
 
-/// Why no connection was made. Nothing was sent.
+/// Why no connection was established. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFault {
     /// The server's machine refused it: no process listens there.
     Refused,
-    /// No answer in time.
+    /// There was no response in time.
     Silent,
-    /// Anything else, such as a want of descriptors here: tells nothing of the server.
+    /// Any other failure, such as a lack of file descriptors in this process; it says nothing about the server.
     Failed,
 }
 
-/// One connection; it ends when this is dropped.
+/// One connection, which is closed on drop.
 pub struct Upstream {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -53,9 +53,9 @@
 }
 
 impl Upstream {
-    /// Connects.
+    /// Establishes a connection.
     pub async fn connect(address: SocketAddr) -> Result<Upstream, ConnectFault> {
-        let stream = match tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address)).await {
+        let stream = match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if is_refusal(&error) => {
                 return Err(ConnectFault::Refused);
@@ -67,18 +67,18 @@
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| ConnectFault::Failed)?;
         let driver = tokio::spawn(async move {
-            // How it ended shows at the request that was on it.
+            // An error is reported by the request on the connection.
             let _ = connection.await;
         });
         Ok(Upstream { sender, driver: driver.abort_handle(), address })
     }
 
-    /// Address of the server.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request that may be written now, and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response. The permit proves that the request may be written now.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -88,33 +88,34 @@
     }
 }
 
-struct Resting {
+struct IdleConnection {
     upstream: Upstream,
     since: Instant,
 }
 
-/// Connections that rest between requests.
+/// Idle connections between requests.
 #[derive(Default)]
 pub struct ConnectionPool {
-    resting: Mutex<HashMap<SocketAddr, Vec<Resting>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// A connection that rests, or a new one. `fresh` asks for a new one.
-    pub async fn connection(&self, address: SocketAddr, fresh: bool) -> Result<Upstream, ConnectFault> {
-        let resting = if fresh { None } else { self.take(address) };
-        match resting {
+    /// Returns an idle connection or establishes a new one; always a new one if `needs_new` is set.
+    pub async fn connection(&self, address: SocketAddr, needs_new: bool) -> Result<Upstream, ConnectFault> {
+        let idle = if needs_new { None } else { self.take(address) };
+        match idle {
             Some(upstream) => Ok(upstream),
             None => Upstream::connect(address).await,
         }
     }
 
-    /// Whether the process at an address has ended: its machine refuses connections. A cut, a machine without power, a
-    /// slow server and one that only broke a connection off do not; a connection that is made is kept.
-    pub async fn has_ended(&self, address: SocketAddr) -> bool {
+    /// Returns whether the server process at an address has ended, which is the case if its machine refuses connections. This
+    /// does not happen with a network partition, a machine without power, a slow server, or one that only closed a connection.
+    /// If a connection is established, it is kept in the pool.
+    pub async fn process_has_ended(&self, address: SocketAddr) -> bool {
         match tokio::time::timeout(CHECK_LIMIT, Upstream::connect(address)).await {
             Ok(Ok(upstream)) => {
-                self.keep(upstream);
+                self.release(upstream);
                 false
             }
             Ok(Err(fault)) => fault == ConnectFault::Refused,
@@ -122,39 +123,39 @@
         }
     }
 
-    /// How a send ended whose connection broke while the server had the request.
-    pub async fn broken(&self, address: SocketAddr) -> SendOutcome {
-        if self.has_ended(address).await { SendOutcome::ServerEnded } else { SendOutcome::Unknown }
+    /// Returns the outcome of a send whose connection broke while the server had the request.
+    pub async fn broken_connection_outcome(&self, address: SocketAddr) -> SendOutcome {
+        if self.process_has_ended(address).await { SendOutcome::ServerEnded } else { SendOutcome::Unknown }
     }
 
     fn take(&self, address: SocketAddr) -> Option<Upstream> {
-        let mut pool = lock(&self.resting);
+        let mut pool = lock(&self.idle);
         let connections = pool.get_mut(&address)?;
-        while let Some(resting) = connections.pop() {
-            if resting.since.elapsed() < REST_LIMIT && resting.upstream.sender.is_ready() {
-                return Some(resting.upstream);
+        while let Some(idle) = connections.pop() {
+            if idle.since.elapsed() < IDLE_TIMEOUT && idle.upstream.sender.is_ready() {
+                return Some(idle.upstream);
             }
         }
         pool.remove(&address);
         None
     }
 
-    /// Keeps a connection whose answer was read whole.
-    pub fn keep(&self, upstream: Upstream) {
+    /// Returns a connection to the pool after its response was read completely.
+    pub fn release(&self, upstream: Upstream) {
         if !upstream.sender.is_ready() {
             return;
         }
-        let mut pool = lock(&self.resting);
+        let mut pool = lock(&self.idle);
         let connections = pool.entry(upstream.address).or_default();
-        if connections.len() < RESTING_PER_SERVER {
-            connections.push(Resting { upstream, since: Instant::now() });
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(IdleConnection { upstream, since: Instant::now() });
         }
     }
 
-    /// Ends connections that have rested too long.
-    pub fn sweep(&self) {
-        lock(&self.resting).retain(|_, connections| {
-            connections.retain(|resting| resting.since.elapsed() < REST_LIMIT);
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&self) {
+        lock(&self.idle).retain(|_, connections| {
+            connections.retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
             !connections.is_empty()
         });
     }
