--- a/crates/daemon/tests/gateway/behavior.rs
+++ b/crates/daemon/tests/gateway/behavior.rs
@@ -1,51 +1,51 @@
-//! How the small servers of these tests treat requests, and what they note of them.
+//! Behavior of fake servers, and their records of received requests.
 
 use poem::http::StatusCode;
 use std::time::{Duration, Instant};
 
-/// How a server treats requests.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    Sound,
-    /// Refuses, and says that it did not run the request.
-    Sheds,
-    /// The same, and says when it wants the next request.
-    AsksForRest(Rest),
-    /// Runs the request and closes the connection without an answer.
-    LosesAnswers,
-    /// Runs the request, and answers with a status that says otherwise.
-    Fails(StatusCode),
-    /// Runs the request, and never answers.
-    Holds,
+pub enum Behavior {
+    Normal,
+    /// Rejects the request and states that it did not run.
+    Rejects,
+    /// Rejects the request and asks for back-off.
+    RequestsBackoff(Backoff),
+    /// Runs the request and closes the connection without a response.
+    DropsResponse,
+    /// Runs the request and responds with a status that implies that it did not run.
+    RespondsWith(StatusCode),
+    /// Runs the request and never responds.
+    NeverResponds,
 }
 
-/// How a server asks for rest.
+/// How a server asks for back-off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rest {
-    /// Status of its answers.
+pub struct Backoff {
+    /// Status of the rejections.
     pub status: StatusCode,
-    /// For how long it wants nothing, in seconds.
+    /// Requested back-off, in seconds.
     pub seconds: u64,
-    /// Whether its answers also say that the request did not run.
+    /// Whether the rejections also state that the request did not run.
     pub says_not_run: bool,
-    /// Part of the requests that it turns away, in percent; it serves the others.
-    pub part: usize,
+    /// Percentage of the requests that it rejects; it serves the others.
+    pub percent: usize,
 }
 
-impl Rest {
-    /// As most servers ask for it.
-    pub const fn of(seconds: u64) -> Rest {
-        Rest { status: StatusCode::SERVICE_UNAVAILABLE, seconds, says_not_run: true, part: 100 }
+impl Backoff {
+    /// The usual form: every request is rejected with 503 and not run.
+    pub const fn of(seconds: u64) -> Backoff {
+        Backoff { status: StatusCode::SERVICE_UNAVAILABLE, seconds, says_not_run: true, percent: 100 }
     }
 }
 
-/// A request that reached a server.
+/// A request received by a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
     pub attempt: String,
-    /// For how long the answer asked to be sent nothing.
-    pub asked: Option<Duration>,
-    /// Requests a second that the answer said the server takes.
+    /// Back-off requested in the response.
+    pub backoff: Option<Duration>,
+    /// Rate limit announced in the response, in requests per second.
     pub named: Option<f64>,
 }
--- a/crates/daemon/tests/gateway/event_stream.rs
+++ b/crates/daemon/tests/gateway/event_stream.rs
@@ -1,49 +1,49 @@
-//! The stream of events with which a small model server answers.
+//! The event stream with which a fake model server responds.
 
-use crate::servers::{EVENT_PAUSE, EVENTS, FakeServer};
+use crate::servers::{EVENT_INTERVAL, EVENTS, FakeServer};
 use futures::stream;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Counts a stream that is dropped before its end.
-struct Running {
+/// Counts a stream as aborted if it is dropped before its end.
+struct StreamGuard {
     server: Arc<FakeServer>,
     complete: bool,
 }
 
-impl Running {
+impl StreamGuard {
     fn finish(&mut self) {
         self.complete = true;
     }
 }
 
-impl Drop for Running {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
         self.server.streaming.fetch_sub(1, Ordering::SeqCst);
         if !self.complete {
-            self.server.broken_off.fetch_add(1, Ordering::SeqCst);
+            self.server.aborted_streams.fetch_add(1, Ordering::SeqCst);
         }
     }
 }
 
-/// The events after one, a pause apart.
+/// Streams the events after the event `after`, one per [`EVENT_PAUSE`].
 pub fn events(
     server: Arc<FakeServer>,
     after: u64,
 ) -> impl futures::Stream<Item = std::io::Result<Vec<u8>>> + Send + 'static {
     server.streaming.fetch_add(1, Ordering::SeqCst);
-    let running = Running { server, complete: false };
-    stream::unfold((running, after + 1), |(mut running, id)| async move {
-        tokio::time::sleep(EVENT_PAUSE).await;
-        running.server.break_if_ended();
-        while running.server.stands_still.load(Ordering::SeqCst) {
-            tokio::time::sleep(EVENT_PAUSE).await;
+    let guard = StreamGuard { server, complete: false };
+    stream::unfold((guard, after + 1), |(mut guard, id)| async move {
+        tokio::time::sleep(EVENT_INTERVAL).await;
+        guard.server.break_if_crashed();
+        while guard.server.is_stalled.load(Ordering::SeqCst) {
+            tokio::time::sleep(EVENT_INTERVAL).await;
         }
         if id > EVENTS {
-            running.finish();
+            guard.finish();
             return None;
         }
         let event = format!("id: {id}\ndata: piece {id}\n\n").into_bytes();
-        Some((Ok(event), (running, id + 1)))
+        Some((Ok(event), (guard, id + 1)))
     })
 }
--- a/crates/daemon/tests/gateway/fixture.rs
+++ b/crates/daemon/tests/gateway/fixture.rs
@@ -1,4 +1,5 @@
-//! A fleet of real daemons on loopback, found by seeds: three members of the control group, two entries.
+//! A fleet of daemon processes on loopback addresses that discover each other through seeds: three members of the control
+//! group, and by default two entries.
 
 mod daemon;
 mod directory;
@@ -13,25 +14,25 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Generous: what is judged is judged by answers, not by time.
+/// Generous time limit: the tests check responses, not times.
 pub const LIMIT: Duration = Duration::from_secs(30);
-/// A file system in memory, where there is one. These tests judge answers, not disks: on a busy machine a synced write
-/// has taken 4 s, and no voter goes on without its own. What a killed process has written is there in memory too.
-const MEMORY_FOLDER: &str = "/dev/shm";
+/// In-memory file system, used if it exists. On a busy machine a synced write has taken 4 s, and no voter proceeds without its
+/// own write, but these tests check responses, not disks. Data written by a killed process is preserved in memory, too.
+const MEMORY_DIRECTORY: &str = "/dev/shm";
 const PEER_PORT: u16 = 7_100;
 const OPERATORS_PORT: u16 = 7_200;
 const FRONTEND_PORT: u16 = 7_300;
 const READINESS_PORT: u16 = 7_301;
 const DIRECTORY_PORT: u16 = 7_302;
 const SERVER_PORT: u16 = 7_400;
-/// What an operator shows to the resource API.
+/// Operator's token for the resource API.
 pub const OPERATOR_TOKEN: &str = "operator-token";
 const MEMBERS: u8 = 3;
 const ENTRIES: u8 = 2;
 
 static NEXT_NETWORK: AtomicU32 = AtomicU32::new(0);
 
-/// The fleet.
+/// A fleet of daemons.
 pub struct Fleet {
     pub members: Vec<Daemon>,
     pub entries: Vec<Daemon>,
@@ -42,7 +43,7 @@
 }
 
 impl Drop for Fleet {
-    /// Keeps settings and logs of a test that fails, and says where.
+    /// Keeps the settings and logs of a failed test, and prints their location.
     fn drop(&mut self) {
         if std::thread::panicking() {
             self.folder.disable_cleanup(true);
@@ -57,17 +58,17 @@
         Fleet::start_dispatched(64)
     }
 
-    /// Starts all daemons; the leader dispatches in fleets of so many entries.
+    /// Starts all daemons; the leader dispatches in fleets of up to `leader_dispatches_up_to` entries.
     pub fn start_dispatched(leader_dispatches_up_to: u32) -> Fleet {
         Fleet::start_with_entries(ENTRIES, leader_dispatches_up_to)
     }
 
-    /// The same with so many entries.
+    /// The same with this number of entries.
     pub fn start_with_entries(entry_count: u8, leader_dispatches_up_to: u32) -> Fleet {
         let process = std::process::id();
         let number = NEXT_NETWORK.fetch_add(1, Ordering::SeqCst) as u8;
         let network = [64 + number, (process % 250) as u8 + 1];
-        let in_memory = tempfile::tempdir_in(MEMORY_FOLDER).or_else(|_| tempfile::tempdir());
+        let in_memory = tempfile::tempdir_in(MEMORY_DIRECTORY).or_else(|_| tempfile::tempdir());
         let folder = in_memory.unwrap_or_else(|error| panic!("{error}"));
         let http = Client::builder().pool_max_idle_per_host(0).build().unwrap_or_default();
         let (members, entries) = (Vec::new(), Vec::new());
@@ -84,21 +85,21 @@
         fleet
     }
 
-    /// Writes a daemon's settings.
+    /// Creates a daemon that is not started yet, and writes its settings.
     pub fn daemon(&self, name: &str, host: u8, member: bool, founding: bool) -> Daemon {
         let seeds: Vec<SocketAddr> =
             (0..MEMBERS).map(|member| self.address(member, OPERATORS_PORT)).collect();
         self.daemon_with_seeds(name, host, member, founding, seeds)
     }
 
-    /// One more entry, which knows only another entry at first.
-    pub fn entry_known_to(&self, other: u8) -> Daemon {
+    /// Creates an additional entry whose only seed is another entry.
+    pub fn entry_with_seed(&self, other: u8) -> Daemon {
         let seeds = vec![self.address(MEMBERS + other, OPERATORS_PORT)];
         self.daemon_with_seeds("entry-cut-off", MEMBERS + self.entry_count(), false, false, seeds)
     }
 
-    /// A daemon that takes operators and servers, and has no disk: it is no voter.
-    pub fn control_without_disk(&self) -> Daemon {
+    /// Creates a daemon that accepts operators' calls and servers' reports, but has no disk and thus is not a voter.
+    pub fn diskless_daemon(&self) -> Daemon {
         let daemon = self.daemon("control-without-disk", MEMBERS + self.entry_count() + 1, true, false);
         let text = std::fs::read_to_string(&daemon.settings).unwrap_or_default();
         let mut settings: Value = serde_json::from_str(&text).unwrap_or_default();
@@ -107,12 +108,12 @@
         daemon
     }
 
-    /// Where that daemon takes operators and servers.
-    pub fn operators_without_disk(&self) -> SocketAddr {
+    /// Returns that daemon's address for operators and servers.
+    pub fn diskless_daemon_operators(&self) -> SocketAddr {
         self.address(MEMBERS + self.entry_count() + 1, OPERATORS_PORT)
     }
 
-    /// Changes a daemon's seeds, for its next start.
+    /// Changes a daemon's seeds; takes effect at its next start.
     pub fn set_seeds(&self, daemon: &Daemon, hosts: &[u8], founding: bool) {
         let text = std::fs::read_to_string(&daemon.settings).unwrap_or_default();
         let mut settings: Value = serde_json::from_str(&text).unwrap_or_default();
@@ -122,7 +123,7 @@
         std::fs::write(&daemon.settings, settings.to_string()).unwrap_or_else(|error| panic!("{error}"));
     }
 
-    /// Changes a figure in a daemon's `control` section, for its next start.
+    /// Changes a number in the `control` section of a daemon's settings; takes effect at its next start.
     pub fn set_control(&self, daemon: &Daemon, key: &str, value: u64) {
         let text = std::fs::read_to_string(&daemon.settings).unwrap_or_default();
         let mut settings: Value = serde_json::from_str(&text).unwrap_or_default();
@@ -183,7 +184,7 @@
         (0..MEMBERS).map(|member| self.address(member, OPERATORS_PORT)).collect()
     }
 
-    /// Where a member takes the resource API's calls.
+    /// Returns the base URL of a member's resource API.
     pub fn resource_api(&self, member: u8) -> String {
         format!("http://{}/api/v1", self.address(member, PEER_PORT + 1))
     }
@@ -192,44 +193,44 @@
         format!("http://{}", self.address(MEMBERS + number, FRONTEND_PORT))
     }
 
-    /// Calls that an entry has passed on to the leader for others.
+    /// Returns the number of calls that an entry has relayed to the leader for other daemons.
     pub async fn relayed_calls(&self, number: u8) -> reqwest::Result<f64> {
         self.metric(number, "dockwood_relayed_calls_total").await
     }
 
-    /// Calls of a kind that an entry has taken from other daemons, or from itself.
+    /// Returns the number of peer calls of a method that an entry has received, including its own.
     pub async fn peer_calls(&self, number: u8, method: &str) -> reqwest::Result<f64> {
         self.metric(number, &format!("dockwood_peer_calls_total{{method=\"{method}\"}}")).await
     }
 
-    /// Waits until both entries know of so many open groups of a service.
+    /// Waits until all entries know of this number of open groups of a service.
     pub async fn wait_until_open(&self, service: &str, groups: u32) {
         let name = format!("dockwood_open_groups{{service=\"{service}\"}}");
         for entry in 0..self.entry_count() {
-            let begun = Instant::now();
+            let started = Instant::now();
             while !self.metric(entry, &name).await.is_ok_and(|open| open == f64::from(groups)) {
-                assert!(begun.elapsed() < LIMIT, "entry {entry} never knows of {groups} open groups");
+                assert!(started.elapsed() < LIMIT, "entry {entry} does not know of {groups} open groups");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
     }
 
-    /// The host number of an entry.
+    /// Returns the host number of an entry.
     pub fn entry_host(&self, number: u8) -> u8 {
         MEMBERS + number
     }
 
-    /// A metric of an entry.
+    /// Returns the value of an entry's metric.
     pub async fn metric(&self, entry: u8, name: &str) -> reqwest::Result<f64> {
         self.metric_at(self.entry_host(entry), name).await
     }
 
-    /// Whether a member of the control group leads it, as far as it knows.
-    pub async fn leads(&self, member: u8) -> bool {
-        self.metric_at(member, "dockwood_is_leader").await.is_ok_and(|leads| leads == 1.0)
+    /// Returns whether a member considers itself the leader of the control group.
+    pub async fn is_leader(&self, member: u8) -> bool {
+        self.metric_at(member, "dockwood_is_leader").await.is_ok_and(|is_leader| is_leader == 1.0)
     }
 
-    /// A figure that a daemon shows.
+    /// Returns the value of a daemon's metric; 0 if it does not exist.
     pub async fn metric_at(&self, host: u8, name: &str) -> reqwest::Result<f64> {
         let url = format!("http://{}/metrics", self.address(host, PEER_PORT + 1));
         let text = self.http.get(url).send().await?.text().await?;
@@ -242,13 +243,13 @@
         FakeServer::start(&id, "writer", Some("d"), self.server_address(number), self.operators()).await
     }
 
-    /// A model server in a zone, whose domain is named after the zone.
+    /// Starts a model server in a zone; its domain is named after the zone.
     pub async fn model_server_in(&self, zone: &str, number: u8) -> Arc<FakeServer> {
         let (id, address) = (format!("model-{number}"), self.server_address(number));
         FakeServer::start_in(zone, &id, "writer", Some(zone), address, self.operators()).await
     }
 
-    /// A plain server in a zone.
+    /// Starts a plain server in a zone.
     pub async fn plain_server_in(&self, zone: &str, number: u8) -> Arc<FakeServer> {
         let (id, address) = (format!("plain-{number}"), self.server_address(number));
         FakeServer::start_in(zone, &id, "board", None, address, self.operators()).await
@@ -259,13 +260,13 @@
         FakeServer::start(&id, "board", None, self.server_address(number), self.operators()).await
     }
 
-    /// Puts a configuration until some member takes it.
+    /// Submits a configuration until a member accepts it.
     pub async fn configure(&self, configuration: &Value) {
         let put = |address: SocketAddr| {
             let url = format!("http://{address}/v1/gateway/configuration");
             self.http.put(url).timeout(Duration::from_secs(1)).json(configuration).send()
         };
-        let taken = async {
+        let accepted = async {
             loop {
                 for address in self.operators() {
                     if put(address).await.is_ok_and(|answer| answer.status() == StatusCode::OK) {
@@ -275,11 +276,11 @@
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        let in_time = tokio::time::timeout(LIMIT, taken).await;
-        assert!(in_time.is_ok(), "no member took the configuration");
+        let in_time = tokio::time::timeout(LIMIT, accepted).await;
+        assert!(in_time.is_ok(), "no member accepted the configuration");
     }
 
-    /// The version that some member reads back; `None` if none is sure of it.
+    /// Returns the configuration version that a member returns; `None` if no member returns any.
     pub async fn read_version(&self) -> Option<u64> {
         for address in self.operators() {
             let version = self.version_at(address).await;
@@ -290,7 +291,7 @@
         None
     }
 
-    /// The version that one daemon reads back; `None` if it is not sure of it.
+    /// Returns the configuration version that one daemon returns; `None` if it returns an error.
     pub async fn version_at(&self, operators: SocketAddr) -> Option<u64> {
         let url = format!("http://{operators}/v1/gateway/configuration");
         let answer = self.http.get(url).timeout(Duration::from_secs(1)).send().await.ok()?;
@@ -301,10 +302,10 @@
         read["version"].as_u64()
     }
 
-    /// Waits until a member reads a configuration back, and returns its version.
+    /// Waits until a member returns a configuration, and returns its version; `None` after [`LIMIT`].
     pub async fn settled_version(&self) -> Option<u64> {
-        let begun = Instant::now();
-        while begun.elapsed() < LIMIT {
+        let started = Instant::now();
+        while started.elapsed() < LIMIT {
             if let Some(version) = self.read_version().await {
                 return Some(version);
             }
@@ -313,7 +314,7 @@
         None
     }
 
-    /// A request at an entry.
+    /// Creates a request to an entry.
     pub fn request(&self, entry: u8, path: &str, attempt: &str) -> reqwest::RequestBuilder {
         self.http
             .post(format!("{}{path}", self.entry(entry)))
@@ -324,32 +325,32 @@
             .timeout(LIMIT)
     }
 
-    /// Waits until a plain request or a stream is answered at both entries.
+    /// Waits until requests to a path are answered by all entries.
     pub async fn wait_until_served(&self, path: &str) {
         for entry in 0..self.entry_count() {
-            let begun = Instant::now();
+            let started = Instant::now();
             loop {
                 let answer = self.request(entry, path, "warm-up").send().await;
                 if answer.is_ok_and(|answer| answer.status() == StatusCode::OK) {
                     break;
                 }
-                assert!(begun.elapsed() < LIMIT, "{path} is never served at entry {entry}");
+                assert!(started.elapsed() < LIMIT, "{path} is not served by entry {entry}");
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
     }
 }
 
-/// Waits for a condition.
-pub async fn eventually(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+/// Waits for a condition; after [`LIMIT`], panics with the message `failure`.
+pub async fn eventually(failure: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < LIMIT, "{what}");
+        assert!(started.elapsed() < LIMIT, "{failure}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A configuration with a stream, a plain route and one that may run once.
+/// Returns a configuration with a streaming route, a repeatable one and an at-most-once one.
 pub fn configuration(version: u64) -> Value {
     let route = |name: &str, kind: &str, service: &str, attempts: u32, resumable: bool| {
         json!({
--- a/crates/daemon/tests/gateway/limit_soak.rs
+++ b/crates/daemon/tests/gateway/limit_soak.rs
@@ -6,7 +6,7 @@
 
 use crate::fixture::{Daemon, Fleet, configuration};
 use crate::limit_check::{Exemption, first_excess_with_exemptions};
-use crate::servers::{FakeServer, Manner, Rest};
+use crate::servers::{Backoff, Behavior, FakeServer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use reqwest::StatusCode;
@@ -138,7 +138,7 @@
         let for_ms = match fault {
             Fault::Limit { server, per_second } => return self.servers[server].set_limit(per_second),
             Fault::Rest { server, for_ms } => {
-                self.servers[server].set_manner(Manner::AsksForRest(Rest::of(1)));
+                self.servers[server].set_behavior(Behavior::RequestsBackoff(Backoff::of(1)));
                 for_ms
             }
             Fault::Stop { process, .. } | Fault::Kill { process, .. } if self.must_not_fail(process) => {
@@ -170,7 +170,7 @@
         match fault {
             Fault::Stop { process, .. } => self.daemon(process).signal("-CONT"),
             Fault::Kill { process, .. } => self.daemon(process).start(),
-            Fault::Rest { server, .. } => self.servers[server].set_manner(Manner::Sound),
+            Fault::Rest { server, .. } => self.servers[server].set_behavior(Behavior::Normal),
             Fault::Limit { .. } => {}
         }
     }
@@ -197,7 +197,7 @@
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     let arrivals = servers.iter().flat_map(|server| server.requests_since(since));
     // A server that asked for back-off did not run the request.
-    for arrival in arrivals.filter(|arrival| arrival.asked.is_none()) {
+    for arrival in arrivals.filter(|arrival| arrival.backoff.is_none()) {
         *runs.entry(arrival.attempt).or_default() += 1;
     }
     for (attempt, status) in answers.iter().filter(|(attempt, _)| !attempt.contains(STREAMS)) {
--- a/crates/daemon/tests/gateway/poison_requests.rs
+++ b/crates/daemon/tests/gateway/poison_requests.rs
@@ -7,9 +7,9 @@
 //! were answered in time. The cause was identified from one attempt on two servers, each of which crashed 56 ms after it had begun
 //! to run the request, whatever else it ran: from 43.480 s to 43.536 s, and from 43.712 s to 43.768 s.
 
+use super::complete_stream;
 use super::fixture::{Daemon, Fleet, LIMIT, OPERATOR_TOKEN, configuration, eventually};
-use super::servers::{ENDS_SERVERS, FakeServer, KEEPS_ID, Manner};
-use super::whole_stream;
+use super::servers::{Behavior, CRASHES_SERVERS, FakeServer, KEEPS_ID};
 use reqwest::{Method, StatusCode};
 use serde_json::Value;
 use std::sync::Arc;
@@ -73,7 +73,7 @@
 async fn send_poison(fleet: &Fleet, path: &str, number: u32) {
     let request = fleet.request((number % 2) as u8, path, &format!("fatal-{number}"));
     // Truncated, refused or failed: the caller retries in any case.
-    if let Ok(answer) = request.body(ENDS_SERVERS).send().await {
+    if let Ok(answer) = request.body(CRASHES_SERVERS).send().await {
         let _ = answer.text().await;
     }
 }
@@ -140,14 +140,14 @@
         assert_eq!(answer.status(), StatusCode::OK);
         // Panics so that the daemons' logs are kept.
         let text = answer.text().await.unwrap_or_else(|error| panic!("{error:?}"));
-        assert_eq!(text, whole_stream());
+        assert_eq!(text, complete_stream());
     }
     send_past_quarantine_limit(&fleet, &models, "/stream/2").await;
     fleet.wait_until_open("writer", 4).await;
     for number in 0..8 {
         let request = fleet.request(number % 2, "/stream/2", &format!("after-{number}"));
         let answer = request.body(format!("body {number}")).send().await?;
-        assert_eq!(answer.text().await?, whole_stream());
+        assert_eq!(answer.text().await?, complete_stream());
     }
     Ok(())
 }
@@ -161,7 +161,7 @@
 ) -> reqwest::Result<reqwest::Response> {
     let started = Instant::now();
     for number in 0.. {
-        let request = fleet.request(entry, path, &format!("refused-{entry}-{number}")).body(ENDS_SERVERS);
+        let request = fleet.request(entry, path, &format!("refused-{entry}-{number}")).body(CRASHES_SERVERS);
         let answer = request.send().await?;
         let status = answer.status();
         let is_refused = !answer.headers().contains_key("retry-after") && status == StatusCode::BAD_GATEWAY;
@@ -176,7 +176,7 @@
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    fleet.request(entry, path, "once more").body(ENDS_SERVERS).send().await
+    fleet.request(entry, path, "once more").body(CRASHES_SERVERS).send().await
 }
 
 async fn operator_call(fleet: &Fleet, method: Method, path: &str) -> reqwest::Result<(StatusCode, Value)> {
@@ -257,7 +257,7 @@
     let (mut fleet, models) = with_four_groups(leader_dispatches_up_to).await;
     send_poison(&fleet, "/stream/2", 0).await;
     for member in 0..fleet.members.len() {
-        if fleet.leads(member as u8).await {
+        if fleet.is_leader(member as u8).await {
             fleet.members[member].kill();
         }
     }
@@ -277,7 +277,7 @@
     fleet.entries[1].signal("-STOP");
     let held: Vec<_> = (0..4)
         .map(|number| {
-            let request = fleet.request(1, "/stream/2", &format!("held-{number}")).body(ENDS_SERVERS);
+            let request = fleet.request(1, "/stream/2", &format!("held-{number}")).body(CRASHES_SERVERS);
             tokio::spawn(request.send())
         })
         .collect();
@@ -323,12 +323,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lost_responses_of_running_servers_are_no_evidence() -> reqwest::Result<()> {
     let (fleet, servers) = super::with_plain_servers().await;
-    servers.iter().for_each(|server| server.set_manner(Manner::LosesAnswers));
+    servers.iter().for_each(|server| server.set_behavior(Behavior::DropsResponse));
     for number in 0..6 {
         let answer = fleet.request(0, "/plain/2", &format!("lost-{number}")).send().await?;
         assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
     }
-    servers.iter().for_each(|server| server.set_manner(Manner::Sound));
+    servers.iter().for_each(|server| server.set_behavior(Behavior::Normal));
     fleet.wait_until_served("/plain/2").await;
     assert_eq!(fleet.metric(0, "dockwood_sends_server_ended_total").await?, 0.0);
     assert_eq!(fleet.metric(0, "dockwood_suspects").await?, 0.0);
@@ -339,14 +339,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stalled_group_is_no_evidence() -> reqwest::Result<()> {
     let (fleet, models) = super::with_groups().await;
-    eventually("warm-up requests did not end", || super::serving(&models).is_none()).await;
+    eventually("warm-up requests did not end", || super::streaming_server(&models).is_none()).await;
     let streaming = tokio::spawn(fleet.request(0, "/stream/2", "stands-still").send());
-    eventually("the stream did not begin", || super::serving(&models).is_some()).await;
-    if let Some(server) = super::serving(&models) {
-        server.stands_still.store(true, Ordering::SeqCst);
+    eventually("the stream did not begin", || super::streaming_server(&models).is_some()).await;
+    if let Some(server) = super::streaming_server(&models) {
+        server.is_stalled.store(true, Ordering::SeqCst);
     }
     let answer = streaming.await.unwrap_or_else(|error| panic!("{error}"))?;
-    assert_eq!(answer.text().await?, whole_stream());
+    assert_eq!(answer.text().await?, complete_stream());
     assert_eq!(fleet.metric(0, "dockwood_suspects").await?, 0.0);
     assert_eq!(fleet.metric(0, "dockwood_sends_server_ended_total").await?, 0.0);
     Ok(())
@@ -357,12 +357,12 @@
 async fn an_error_response_does_not_clear_a_suspect() -> reqwest::Result<()> {
     let (fleet, servers) = with_four_plain_servers().await;
     send_poison(&fleet, "/once/2", 0).await;
-    let failing = Manner::Fails(StatusCode::INTERNAL_SERVER_ERROR);
-    servers.iter().for_each(|server| server.set_manner(failing));
+    let failing = Behavior::RespondsWith(StatusCode::INTERNAL_SERVER_ERROR);
+    servers.iter().for_each(|server| server.set_behavior(failing));
     for number in 1..4 {
         send_poison(&fleet, "/once/2", number).await;
     }
-    servers.iter().for_each(|server| server.set_manner(Manner::Sound));
+    servers.iter().for_each(|server| server.set_behavior(Behavior::Normal));
     assert_eq!(fleet.metric(0, "dockwood_suspects").await?, 1.0, "the request is no longer a suspect");
     send_past_quarantine_limit(&fleet, &servers, "/once/2").await;
     assert_contained(&arrivals(&servers));
--- a/crates/daemon/tests/gateway/server_backoff.rs
+++ b/crates/daemon/tests/gateway/server_backoff.rs
@@ -9,8 +9,8 @@
 //! {"instance":…40,"atMs":9,"ended":"SaidNotRun"}]`.
 
 use crate::fixture::{Fleet, configuration};
-use crate::servers::{Arrival, FakeServer, Manner, Rest};
-use crate::{whole_stream, with_groups, with_groups_of, with_plain_servers};
+use crate::servers::{Arrival, Backoff, Behavior, FakeServer};
+use crate::{complete_stream, with_groups, with_groups_of, with_plain_servers};
 use poem::http::StatusCode as ServerStatus;
 use reqwest::StatusCode;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
     };
     let max_requests = |arrivals: Vec<&Arrival>| {
         let count_during_backoff = |rejected: &&Arrival| {
-            let asked = rejected.asked.unwrap_or_default();
+            let asked = rejected.backoff.unwrap_or_default();
             let is_within = |at: Instant| at > rejected.at + IN_FLIGHT_GRACE && at < rejected.at + asked;
             arrivals.iter().filter(|arrival| is_within(arrival.at)).count()
         };
@@ -86,11 +86,11 @@
 }
 
 /// Lets one server ask for back-off, and asserts that it gets it and that the other servers answer the callers.
-async fn assert_backoff_is_respected(fleet: &Fleet, path: &str, server: &Arc<FakeServer>, rest: Rest) {
+async fn assert_backoff_is_respected(fleet: &Fleet, path: &str, server: &Arc<FakeServer>, rest: Backoff) {
     let since = Instant::now();
-    server.set_manner(Manner::AsksForRest(rest));
+    server.set_behavior(Behavior::RequestsBackoff(rest));
     let outcome = run_callers(fleet, path, Duration::from_secs(2 * BACKOFF_S)).await;
-    let asked = server.requests_since(since).iter().filter(|arrival| arrival.asked.is_some()).count();
+    let asked = server.requests_since(since).iter().filter(|arrival| arrival.backoff.is_some()).count();
     assert!(asked > 0, "the server received no request: {outcome:?}");
     let max_requests = max_requests_during_backoff(server, since);
     assert!(
@@ -126,8 +126,8 @@
 async fn a_group_head_gets_no_requests_during_its_backoff() {
     let (fleet, models) = with_spare_groups(Fleet::start()).await;
     let head = busiest_head(&fleet, &models).await;
-    assert_backoff_is_respected(&fleet, "/stream/2", &head, Rest::of(BACKOFF_S)).await;
-    head.set_manner(Manner::Sound);
+    assert_backoff_is_respected(&fleet, "/stream/2", &head, Backoff::of(BACKOFF_S)).await;
+    head.set_behavior(Behavior::Normal);
     let since = Instant::now();
     run_callers(&fleet, "/stream/2", Duration::from_secs(2 * BACKOFF_S)).await;
     assert!(!head.requests_since(since).is_empty(), "the server gets no requests after its back-off");
@@ -138,29 +138,30 @@
 async fn backoff_of_a_group_head_is_respected_when_entries_dispatch() {
     let (fleet, models) = with_spare_groups(Fleet::start_dispatched(0)).await;
     let head = busiest_head(&fleet, &models).await;
-    assert_backoff_is_respected(&fleet, "/stream/2", &head, Rest::of(BACKOFF_S)).await;
+    assert_backoff_is_respected(&fleet, "/stream/2", &head, Backoff::of(BACKOFF_S)).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_plain_server_gets_no_requests_during_its_backoff() {
     let (fleet, servers) = with_plain_servers().await;
-    assert_backoff_is_respected(&fleet, "/plain/1", &servers[0], Rest::of(BACKOFF_S)).await;
+    assert_backoff_is_respected(&fleet, "/plain/1", &servers[0], Backoff::of(BACKOFF_S)).await;
 }
 
 /// Requests that may run at most once respect the back-off as well.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn at_most_once_requests_respect_backoff() {
     let (fleet, servers) = with_plain_servers().await;
-    assert_backoff_is_respected(&fleet, "/once/1", &servers[0], Rest::of(BACKOFF_S)).await;
+    assert_backoff_is_respected(&fleet, "/once/1", &servers[0], Backoff::of(BACKOFF_S)).await;
 }
 
 /// The header alone requests the back-off, whether or not the response also says that the request did not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn backoff_is_respected_without_a_not_run_header() {
     let (fleet, servers) = with_plain_servers().await;
-    let rest = Rest { status: ServerStatus::TOO_MANY_REQUESTS, says_not_run: false, ..Rest::of(BACKOFF_S) };
+    let rest =
+        Backoff { status: ServerStatus::TOO_MANY_REQUESTS, says_not_run: false, ..Backoff::of(BACKOFF_S) };
     let since = Instant::now();
-    servers[0].set_manner(Manner::AsksForRest(rest));
+    servers[0].set_behavior(Behavior::RequestsBackoff(rest));
     run_callers(&fleet, "/plain/1", Duration::from_secs(2 * BACKOFF_S)).await;
     let max_requests = max_requests_during_backoff(&servers[0], since);
     assert!(
@@ -191,7 +192,7 @@
     expected_body: &str,
 ) -> reqwest::Result<()> {
     let since = Instant::now();
-    servers.iter().for_each(|server| server.set_manner(Manner::AsksForRest(Rest::of(BACKOFF_S))));
+    servers.iter().for_each(|server| server.set_behavior(Behavior::RequestsBackoff(Backoff::of(BACKOFF_S))));
     run_callers(fleet, path, Duration::from_millis(300)).await;
     let asked_at = Instant::now();
     let refused = fleet.request(0, path, "e0-refused").send().await?;
@@ -212,7 +213,7 @@
             "{max_requests} requests of one entry during {BACKOFF_S} s of back-off"
         );
     }
-    servers.iter().for_each(|server| server.set_manner(Manner::Sound));
+    servers.iter().for_each(|server| server.set_behavior(Behavior::Normal));
     tokio::time::sleep(Duration::from_secs_f64(retry_after_s) + PAUSE).await;
     let answer = fleet.request(0, path, "e0-back").send().await?;
     let (status, body) = (answer.status(), answer.text().await?);
@@ -227,12 +228,12 @@
     let (fleet, models) = with_spare_groups(Fleet::start()).await;
     let head = busiest_head(&fleet, &models).await;
     let since = Instant::now();
-    head.says_leaving.store(true, Ordering::SeqCst);
+    head.announces_leaving.store(true, Ordering::SeqCst);
     let running = fleet.request(0, "/stream/2", "e0-running");
     let running = tokio::spawn(async move { running.send().await?.text().await });
     assert_no_new_requests(&fleet, "/stream/2", &head, since).await;
     let whole = running.await.unwrap_or_else(|error| panic!("{error}"))?;
-    assert_eq!(whole, whole_stream());
+    assert_eq!(whole, complete_stream());
     Ok(())
 }
 
@@ -240,7 +241,7 @@
 async fn a_leaving_plain_server_gets_no_new_requests() {
     let (fleet, servers) = with_plain_servers().await;
     let since = Instant::now();
-    servers[0].says_leaving.store(true, Ordering::SeqCst);
+    servers[0].announces_leaving.store(true, Ordering::SeqCst);
     assert_no_new_requests(&fleet, "/plain/1", &servers[0], since).await;
 }
 
@@ -265,7 +266,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_are_refused_immediately_when_all_servers_are_leaving() {
     let (fleet, servers) = with_plain_servers().await;
-    servers.iter().for_each(|server| server.says_leaving.store(true, Ordering::SeqCst));
+    servers.iter().for_each(|server| server.announces_leaving.store(true, Ordering::SeqCst));
     run_callers(&fleet, "/plain/1", Duration::from_millis(500)).await;
     let since = Instant::now();
     let outcome = run_callers(&fleet, "/plain/1", Duration::from_millis(500)).await;
@@ -307,8 +308,11 @@
     fleet.configure(&configuration(1)).await;
     fleet.wait_until_served("/plain/1").await;
     for (rejecting, percent) in REJECTION_CASES {
-        let rest = Rest { part: percent, ..Rest::of(1) };
-        servers.iter().take(rejecting).for_each(|server| server.set_manner(Manner::AsksForRest(rest)));
+        let rest = Backoff { percent, ..Backoff::of(1) };
+        servers
+            .iter()
+            .take(rejecting)
+            .for_each(|server| server.set_behavior(Behavior::RequestsBackoff(rest)));
         let since = Instant::now();
         let outcome = run_callers(&fleet, "/plain/1", CASE_DURATION).await;
         let arrivals: usize = servers.iter().map(|server| server.requests_since(since).len()).sum();
@@ -328,7 +332,7 @@
             !has_healthy_server || outcome.refused * 20 <= outcome.answered,
             "{rejecting}, {percent}: {outcome:?}"
         );
-        servers.iter().for_each(|server| server.set_manner(Manner::Sound));
+        servers.iter().for_each(|server| server.set_behavior(Behavior::Normal));
         tokio::time::sleep(PAUSE_BETWEEN_CASES).await;
     }
 }
@@ -339,9 +343,9 @@
 async fn a_suspended_entry_respects_the_remaining_backoff() {
     let (fleet, servers) = with_plain_servers().await;
     let since = Instant::now();
-    servers[0].set_manner(Manner::AsksForRest(Rest::of(BACKOFF_S)));
+    servers[0].set_behavior(Behavior::RequestsBackoff(Backoff::of(BACKOFF_S)));
     run_callers(&fleet, "/plain/1", Duration::from_millis(300)).await;
-    servers[0].set_manner(Manner::Sound);
+    servers[0].set_behavior(Behavior::Normal);
     fleet.entries[0].signal("-STOP");
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.entries[0].signal("-CONT");
--- a/crates/daemon/tests/gateway/servers.rs
+++ b/crates/daemon/tests/gateway/servers.rs
@@ -1,8 +1,8 @@
-//! Small servers that register themselves and speak dockwood's own protocol: model servers in groups, and plain ones.
+//! Fake servers that register themselves and use dockwood's own protocol: model servers in groups, and plain servers.
 
-pub use crate::manner::{Arrival, Manner, Rest};
+pub use crate::behavior::{Arrival, Backoff, Behavior};
 
-use crate::served_stream::events;
+use crate::event_stream::events;
 use dockwood_api::gateway::{
     GroupCommand, GroupOrder, InstanceReport, InstanceState, MembershipReport, MembershipState,
 };
@@ -17,56 +17,56 @@
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 30;
-/// Time between two events.
-pub const EVENT_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two reports.
-const REPORT_EVERY: Duration = Duration::from_millis(200);
-/// A request with this body ends the process of each server that begins to run it.
-pub const ENDS_SERVERS: &str = "ends whatever server runs it";
-/// How long a server runs such a request before it ends.
-const RUNS_BEFORE_END: Duration = Duration::from_millis(50);
-/// How long after its end a server is back, as a new instance at its old address.
+/// Interval between two events.
+pub const EVENT_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// A request with this body crashes each server that begins to run it.
+pub const CRASHES_SERVERS: &str = "ends whatever server runs it";
+/// Time for which a server runs such a request before it crashes.
+const RUNS_BEFORE_CRASH: Duration = Duration::from_millis(50);
+/// Time after which a crashed server restarts at the same address.
 const RESTARTS_AFTER: Duration = Duration::from_millis(500);
-/// What ids of servers begin with that start again under them.
+/// Id prefix of servers that keep their id when they restart.
 pub const KEEPS_ID: &str = "lasting";
-/// How long a member loads.
-const LOAD: Duration = Duration::from_millis(100);
+/// Time that a member takes to load its weights.
+const LOAD_TIME: Duration = Duration::from_millis(100);
 
-/// One server.
+/// A fake server.
 pub struct FakeServer {
     pub id: String,
     pub address: SocketAddr,
     service: String,
     zone: String,
     domain: Option<String>,
-    manner: Mutex<Manner>,
+    behavior: Mutex<Behavior>,
     membership: Mutex<Option<MembershipReport>>,
     sequence: AtomicU64,
     state: Mutex<InstanceState>,
-    pub stands_still: AtomicBool,
-    /// Some report of it was acknowledged.
+    pub is_stalled: AtomicBool,
+    /// Whether a report was acknowledged.
     pub is_registered: AtomicBool,
     pub runs: AtomicU32,
-    pub broken_off: AtomicU32,
+    pub aborted_streams: AtomicU32,
     pub streaming: AtomicU32,
     pub tenants: Mutex<Vec<String>>,
-    /// For how long it says that it is still cold.
+    /// Reported remaining time until it is warm, in milliseconds.
     pub cold_ms: AtomicU64,
-    /// Requests that arrived, those among them that it refused; without those that were meant for another server.
+    /// Received requests including rejected ones, but without those addressed to another server.
     arrivals: Mutex<Vec<Arrival>>,
-    /// It says in all its answers that it is about to leave, whatever it reports.
-    pub says_leaving: AtomicBool,
-    /// Requests a second that it says it takes, in all its answers.
+    /// Whether all its responses announce its shutdown, regardless of its reports.
+    pub announces_leaving: AtomicBool,
+    /// Rate limit announced in all its responses, in requests per second.
     limit: Mutex<Option<f64>>,
-    /// When requests arrived that end servers, here and at the instances that followed this one.
+    /// Arrival times of requests that crash servers, at this instance and its successors.
     pub fatal_arrivals: Arc<Mutex<Vec<Instant>>>,
-    /// Models whose weights its host keeps.
+    /// Models whose weights are staged on its host.
     staged: Mutex<BTreeSet<String>>,
-    /// It is back under its own id, not as a new instance.
+    /// Whether it restarts with the same id instead of as a new instance.
     keeps_id: bool,
-    has_ended: AtomicBool,
+    has_crashed: AtomicBool,
     listening: Mutex<Option<AbortHandle>>,
     operators: Vec<SocketAddr>,
 }
@@ -76,7 +76,7 @@
 }
 
 impl FakeServer {
-    /// Starts a server in the daemons' zone, and its reports.
+    /// Starts a server in the daemons' zone, which begins to report.
     pub async fn start(
         id: &str,
         service: &str,
@@ -87,7 +87,7 @@
         FakeServer::start_in("z", id, service, domain, address, operators).await
     }
 
-    /// The same in a zone.
+    /// Starts a server in a zone.
     pub async fn start_in(
         zone: &str,
         id: &str,
@@ -99,7 +99,7 @@
         FakeServer::start_after(Arc::default(), zone, id, service, domain, address, operators).await
     }
 
-    /// The same, following an instance that has ended.
+    /// Starts a server as the successor of a crashed instance, whose `fatal_arrivals` it shares.
     async fn start_after(
         fatal_arrivals: Arc<Mutex<Vec<Instant>>>,
         zone: &str,
@@ -115,24 +115,24 @@
             service: service.to_string(),
             zone: zone.to_string(),
             domain: domain.map(str::to_string),
-            manner: Mutex::new(Manner::Sound),
+            behavior: Mutex::new(Behavior::Normal),
             membership: Mutex::new(None),
             sequence: AtomicU64::new(0),
             state: Mutex::new(InstanceState::Ready),
-            stands_still: AtomicBool::new(false),
+            is_stalled: AtomicBool::new(false),
             is_registered: AtomicBool::new(false),
             runs: AtomicU32::new(0),
-            broken_off: AtomicU32::new(0),
+            aborted_streams: AtomicU32::new(0),
             streaming: AtomicU32::new(0),
             tenants: Mutex::default(),
             cold_ms: AtomicU64::new(0),
             arrivals: Mutex::default(),
-            says_leaving: AtomicBool::new(false),
+            announces_leaving: AtomicBool::new(false),
             limit: Mutex::default(),
             fatal_arrivals,
             staged: Mutex::default(),
             keeps_id: id.starts_with(KEEPS_ID),
-            has_ended: AtomicBool::new(false),
+            has_crashed: AtomicBool::new(false),
             listening: Mutex::default(),
             operators: operators.clone(),
         });
@@ -147,34 +147,35 @@
         server
     }
 
-    pub fn set_manner(&self, manner: Manner) {
-        *lock(&self.manner) = manner;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *lock(&self.behavior) = behavior;
     }
 
-    /// Sets how many requests a second it says it takes; `None` for as many as come.
+    /// Sets the announced rate limit, in requests per second; `None` for no limit.
     pub fn set_limit(&self, per_second: Option<f64>) {
         *lock(&self.limit) = per_second;
     }
 
-    /// When requests arrived since `since`.
+    /// Returns the arrival times of requests since `since`.
     pub fn arrivals_since(&self, since: Instant) -> Vec<Instant> {
         self.requests_since(since).iter().map(|arrival| arrival.at).collect()
     }
 
-    /// Requests that arrived since `since`.
+    /// Returns the requests that arrived since `since`.
     pub fn requests_since(&self, since: Instant) -> Vec<Arrival> {
         lock(&self.arrivals).iter().filter(|arrival| arrival.at >= since).cloned().collect()
     }
 
-    /// Whether the next request is among the part that is turned away: these are spread evenly.
-    fn turns_away_next(&self, part: usize) -> bool {
+    /// Returns whether the next request is rejected; rejections are spread evenly over the requests.
+    fn rejects_next(&self, percent: usize) -> bool {
         let before = lock(&self.arrivals).len();
-        (before + 1) * part / 100 > before * part / 100
+        (before + 1) * percent / 100 > before * percent / 100
     }
 
-    /// Ends as a process does: its port refuses, its connections break, it reports nothing. It is back some time later.
-    fn end(self: Arc<Self>) {
-        if self.has_ended.swap(true, Ordering::SeqCst) {
+    /// Simulates a crash: the port refuses connections, open connections break, and reports cease. The server restarts after
+    /// [`RESTARTS_AFTER`].
+    fn crash(self: Arc<Self>) {
+        if self.has_crashed.swap(true, Ordering::SeqCst) {
             return;
         }
         if let Some(listening) = lock(&self.listening).take() {
@@ -190,10 +191,10 @@
         });
     }
 
-    /// Breaks the connection that calls this, if the process has ended.
-    pub fn break_if_ended(&self) {
-        if self.has_ended.load(Ordering::SeqCst) {
-            std::panic::resume_unwind(Box::new("the process has ended"));
+    /// Breaks the caller's connection if the server has crashed.
+    pub fn break_if_crashed(&self) {
+        if self.has_crashed.load(Ordering::SeqCst) {
+            std::panic::resume_unwind(Box::new("the server has crashed"));
         }
     }
 
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Its next report.
+    /// Returns its next report.
     pub fn current_report(&self) -> InstanceReport {
         InstanceReport {
             started_ms: None,
@@ -229,8 +230,8 @@
 async fn keep_reporting(server: Arc<FakeServer>, operators: Vec<SocketAddr>) {
     let http = reqwest::Client::new();
     let mut turn = 0;
-    while !server.has_ended.load(Ordering::SeqCst) {
-        if !server.stands_still.load(Ordering::SeqCst) {
+    while !server.has_crashed.load(Ordering::SeqCst) {
+        if !server.is_stalled.load(Ordering::SeqCst) {
             let url =
                 format!("http://{}/v1/gateway/instances/{}", operators[turn % operators.len()], server.id);
             let sent =
@@ -241,7 +242,7 @@
                 turn += 1;
             }
         }
-        tokio::time::sleep(REPORT_EVERY).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
@@ -253,8 +254,8 @@
 #[handler]
 async fn take_order(server: Data<&Arc<FakeServer>>, body: Vec<u8>) -> StatusCode {
     let server = server.0.clone();
-    server.break_if_ended();
-    if server.stands_still.load(Ordering::SeqCst) {
+    server.break_if_crashed();
+    if server.is_stalled.load(Ordering::SeqCst) {
         std::future::pending::<()>().await;
     }
     let Ok(order) = serde_json::from_slice::<GroupOrder>(&body) else { return StatusCode::BAD_REQUEST };
@@ -264,7 +265,7 @@
             let joining = MembershipReport { group: order.group, epoch, state: MembershipState::Joining };
             *lock(&server.membership) = Some(joining);
             tokio::spawn(async move {
-                tokio::time::sleep(LOAD).await;
+                tokio::time::sleep(LOAD_TIME).await;
                 server.set_state(epoch, MembershipState::Ready);
             });
         }
@@ -274,7 +275,7 @@
             server.set_state(epoch, MembershipState::Closing);
             tokio::spawn(async move {
                 while server.streaming.load(Ordering::SeqCst) > 0 {
-                    tokio::time::sleep(EVENT_PAUSE).await;
+                    tokio::time::sleep(EVENT_INTERVAL).await;
                 }
                 server.set_state(epoch, MembershipState::Ready);
             });
@@ -294,24 +295,24 @@
 #[handler]
 async fn run(server: Data<&Arc<FakeServer>>, request: &Request, body: Vec<u8>) -> Response {
     let server = server.0.clone();
-    server.break_if_ended();
+    server.break_if_crashed();
     let attempt = header(request, "dockwood-attempt").unwrap_or_default();
     if header(request, "dockwood-instance").as_ref() != Some(&server.id) {
         let refusal = StatusCode::MISDIRECTED_REQUEST.with_header("dockwood-attempt", attempt);
         return refusal.with_header("dockwood-own-instance", &server.id).into_response();
     }
-    let manner = match *lock(&server.manner) {
-        Manner::AsksForRest(rest) if !server.turns_away_next(rest.part) => Manner::Sound,
-        manner => manner,
+    let behavior = match *lock(&server.behavior) {
+        Behavior::RequestsBackoff(backoff) if !server.rejects_next(backoff.percent) => Behavior::Normal,
+        behavior => behavior,
     };
-    let asked = match manner {
-        Manner::AsksForRest(rest) => Some(Duration::from_secs(rest.seconds)),
+    let backoff = match behavior {
+        Behavior::RequestsBackoff(backoff) => Some(Duration::from_secs(backoff.seconds)),
         _ => None,
     };
     let named = *lock(&server.limit);
-    lock(&server.arrivals).push(Arrival { at: Instant::now(), attempt: attempt.clone(), asked, named });
-    let mut answer = answer(server.clone(), request, body, manner, attempt).await;
-    if server.says_leaving.load(Ordering::SeqCst) {
+    lock(&server.arrivals).push(Arrival { at: Instant::now(), attempt: attempt.clone(), backoff, named });
+    let mut answer = answer(server.clone(), request, body, behavior, attempt).await;
+    if server.announces_leaving.load(Ordering::SeqCst) {
         answer.headers_mut().insert("dockwood-leaving", HeaderValue::from_static("1"));
     }
     if let Some(limit) = named.and_then(|limit| HeaderValue::from_str(&limit.to_string()).ok()) {
@@ -324,39 +325,39 @@
     server: Arc<FakeServer>,
     request: &Request,
     body: Vec<u8>,
-    manner: Manner,
+    behavior: Behavior,
     attempt: String,
 ) -> Response {
-    if manner == Manner::Sheds {
+    if behavior == Behavior::Rejects {
         let refusal = StatusCode::SERVICE_UNAVAILABLE.with_header("dockwood-not-run", "1");
         return refusal.with_header("dockwood-attempt", attempt).into_response();
     }
-    if let Manner::AsksForRest(rest) = manner {
-        let refusal = rest.status.with_header("dockwood-attempt", attempt);
-        let mut refusal = refusal.with_header("retry-after", rest.seconds.to_string()).into_response();
-        if rest.says_not_run {
+    if let Behavior::RequestsBackoff(backoff) = behavior {
+        let refusal = backoff.status.with_header("dockwood-attempt", attempt);
+        let mut refusal = refusal.with_header("retry-after", backoff.seconds.to_string()).into_response();
+        if backoff.says_not_run {
             refusal.headers_mut().insert("dockwood-not-run", HeaderValue::from_static("1"));
         }
         return refusal;
     }
     server.runs.fetch_add(1, Ordering::SeqCst);
     lock(&server.tenants).extend(header(request, "dockwood-tenant"));
-    if manner == Manner::LosesAnswers {
-        // Ends the connection's task without a word: the HTTP library would end a failing body as if it were whole.
-        std::panic::resume_unwind(Box::new("the answer is lost"));
+    if behavior == Behavior::DropsResponse {
+        // Unwinds the connection's task: the HTTP library would end a failing body as if it were complete.
+        std::panic::resume_unwind(Box::new("the response is dropped"));
     }
-    if manner == Manner::Holds {
+    if behavior == Behavior::NeverResponds {
         std::future::pending::<()>().await;
     }
-    if let Manner::Fails(status) = manner {
+    if let Behavior::RespondsWith(status) = behavior {
         return status.with_header("dockwood-attempt", attempt).into_response();
     }
-    if body == ENDS_SERVERS.as_bytes() {
+    if body == CRASHES_SERVERS.as_bytes() {
         lock(&server.fatal_arrivals).push(Instant::now());
-        tokio::time::sleep(RUNS_BEFORE_END).await;
-        server.clone().end();
-        tokio::time::sleep(EVENT_PAUSE).await;
-        server.break_if_ended();
+        tokio::time::sleep(RUNS_BEFORE_CRASH).await;
+        server.clone().crash();
+        tokio::time::sleep(EVENT_INTERVAL).await;
+        server.break_if_crashed();
     }
     if server.domain.is_none() {
         return server.id.clone().with_header("dockwood-attempt", attempt).into_response();
