--- a/crates/daemon/src/gateway/assignment.rs
+++ b/crates/daemon/src/gateway/assignment.rs
@@ -1,5 +1,5 @@
-//! Obtains a place at a group: from the dispatcher of the group's scope, which sees the requests of all entries, or from this
-//! entry's own load figures if no dispatcher responds in time.
+//! Obtains a place at a group: from the dispatcher of the group's scope, which sees the requests of all entries, or
+//! from this entry's own load figures if no dispatcher responds in time.
 
 use super::Gateway;
 use super::dispatchers::Dispatch;
@@ -16,18 +16,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time limit for a dispatcher's response: several times the usual two to three milliseconds, and short compared to the time
-/// to a first event.
+/// Time limit for a dispatcher's response: several times the usual two to three milliseconds, and short compared to the
+/// time to a first event.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(25);
-/// Time limit of the call itself. Longer than [`RESPONSE_TIMEOUT`], so that a late response does not close the connection.
+/// Time limit of the call itself. Longer than [`RESPONSE_TIMEOUT`], so that a late response does not close the
+/// connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// If a call with [`RESPONSE_TIMEOUT`] took this long, in milliseconds, this process was suspended. The dispatcher isn't late
-/// then, and this entry's view of the groups is outdated, so the call is repeated once.
+/// If a call with [`RESPONSE_TIMEOUT`] took this long, in milliseconds, this process was suspended. The dispatcher
+/// isn't late then, and this entry's view of the groups is outdated, so the call is repeated once.
 const SUSPENDED_MS: Millis = 200;
 /// Maximum number of zones in which a place is requested, starting with the entry's own zone.
 const MAX_ZONES: usize = 3;
-/// Percentage of the first-event target above which a group in another zone is preferred: the rest is left for the network
-/// latency, and for later requests that share the group.
+/// Percentage of the first-event target above which a group in another zone is preferred: the rest is left for the
+/// network latency, and for later requests that share the group.
 const CROWDED_PERCENT: u64 = 50;
 /// Pause before a place is requested again after all groups were full, if nobody reports places that become free at other
 /// entries.
@@ -109,9 +110,9 @@
     }
 }
 
-/// Returns whether this entry, too, knows of no group of the model in the regions that the request is restricted to, neither
-/// a serving one nor one that is being formed. Waiting would only delay the caller: groups are not planned by region, so none
-/// is likely to open there soon.
+/// Returns whether this entry, too, knows of no group of the model in the regions that the request is restricted to,
+/// neither a serving one nor one that is being formed. Waiting would only delay the caller: groups are not planned by
+/// region, so none is likely to open there soon.
 fn has_no_group_in_regions(gateway: &Gateway, query: PlaceQuery<'_>) -> bool {
     let tables = gateway.shared.tables();
     let exists = tables.gateway.groups.values().any(|group| {
@@ -170,8 +171,8 @@
     ask(gateway, leader, place_request(gateway, query)).await
 }
 
-/// Asks the dispatchers of the zones in turn: first for a group with a short time to the first event, and if there is none,
-/// for any group.
+/// Asks the dispatchers of the zones in turn: first for a group with a short time to the first event, and if there is
+/// none, for any group.
 async fn ask_zones(gateway: &Gateway, query: PlaceQuery<'_>) -> Option<DispatcherReply> {
     let zones = gateway.loads.zones(query, &gateway.shared.settings.zone);
     if zones.is_empty() {
@@ -235,9 +236,9 @@
 }
 
 async fn ask(gateway: &Gateway, dispatcher: SocketAddr, request: PlaceRequest) -> Option<DispatcherReply> {
-    let begun = monotonic_ms();
+    let started = monotonic_ms();
     let first = ask_once(gateway, dispatcher, request.clone()).await;
-    let was_suspended = monotonic_ms() >= begun + SUSPENDED_MS;
+    let was_suspended = monotonic_ms() >= started + SUSPENDED_MS;
     let response = if was_suspended { ask_once(gateway, dispatcher, request).await } else { first };
     if response.is_none() {
         gateway.shared.dispatchers.rest(dispatcher);
--- a/crates/daemon/src/gateway/cold.rs
+++ b/crates/daemon/src/gateway/cold.rs
@@ -14,8 +14,8 @@
 /// Window over which sends to one server are counted, in milliseconds.
 const RATE_WINDOW_MS: Millis = 1_000;
 
-/// Returns until when a place at a group that was requested at `requested_at` may be used; `None` if its validity is unlimited.
-/// `is_limited`: the head of the group is cold, or was until recently.
+/// Returns until when a place at a group that was requested at `requested_at` may be used; `None` if its validity is
+/// unlimited. `is_limited`: the head of the group is cold, or was until recently.
 pub fn place_valid_until(
     tables: &GatewayTables,
     service: &str,
@@ -53,8 +53,8 @@
         SendRate::of_dispatcher(self.limit.arrivals(cold_start))
     }
 
-    /// Records whether a plain server is cold. It is no longer limited once it is warm: in a slow start, entries whose share
-    /// is zero could not send anything.
+    /// Records whether a plain server is cold. It is no longer limited once it is warm: in a slow start, entries whose
+    /// share is zero could not send anything.
     pub fn observe(&self, now: Millis, row: &InstanceRow) {
         lock(&self.pacing).observe(now, &row.id, row.is_cold);
     }
@@ -74,8 +74,8 @@
         may_give
     }
 
-    /// Returns whether a request may be written to a server now, given the validity of its selection, and counts the send. Must
-    /// be called immediately before writing: the process may have been suspended since the selection.
+    /// Returns whether a request may be written to a server now, given the validity of its selection, and counts the
+    /// send. Must be called immediately before writing: the process may have been suspended since the selection.
     pub fn may_send(
         &self,
         metrics: &Metrics,
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -1,6 +1,7 @@
-//! Selects the daemon that assigns requests to groups. In a small fleet this is the control leader, which sees every request.
-//! In a large one, each scope has its own dispatcher, selected by rendezvous hashing over the live entries of its zone, so
-//! that all entries select the same one without communication. If it doesn't respond, the next one in that order is used.
+//! Selects the daemon that assigns requests to groups. In a small fleet this is the control leader, which sees every
+//! request. In a large one, each scope has its own dispatcher, selected by rendezvous hashing over the live entries of
+//! its zone, so that all entries select the same one without communication. If it doesn't respond, the next one in that
+//! order is used.
 
 use crate::clock::monotonic_ms;
 use dockwood_api::digest::rendezvous_weight;
@@ -74,21 +75,23 @@
         if is_large { Dispatch::Scopes } else { Dispatch::Leader }
     }
 
-    /// Returns the peer address of the dispatcher of a scope; `None` if there is none, or all candidates are unresponsive.
+    /// Returns the peer address of the dispatcher of a scope; `None` if there is none, or all candidates are
+    /// unresponsive.
     pub fn of_scope(&self, tables: &Tables, scope: &DispatchScope) -> Option<SocketAddr> {
         let ranked_dispatchers = self.ranked_dispatchers(tables, scope);
         ranked_dispatchers.iter().copied().find(|address| self.may_ask(*address))
     }
 
-    /// Returns whether a dispatcher may assign requests to cold heads: only [`SENDERS_AT_ONCE`] dispatchers have a share of a
-    /// cold server's rate. The other candidates may serve some of the entries while the first ones still serve the rest.
+    /// Returns whether a dispatcher may assign requests to cold heads: only [`SENDERS_AT_ONCE`] dispatchers have a
+    /// share of a cold server's rate. The other candidates may serve some of the entries while the first ones still
+    /// serve the rest.
     pub fn may_assign_cold(&self, tables: &Tables, scope: &DispatchScope, dispatcher: SocketAddr) -> bool {
         let ranked_dispatchers = self.ranked_dispatchers(tables, scope);
         ranked_dispatchers.iter().take(SENDERS_AT_ONCE as usize).any(|address| *address == dispatcher)
     }
 
-    /// Returns the candidates for the limiter of a server, in order of preference: the first that responds is used. `zone` is
-    /// the server's zone, if known.
+    /// Returns the candidates for the limiter of a server, in order of preference: the first that responds is used.
+    /// `zone` is the server's zone, if known.
     pub fn turn_givers(&self, tables: &Tables, server: &str, zone: Option<&str>) -> Arc<[SocketAddr]> {
         let mut fleet = lock(&self.fleet);
         let FleetSummary { summary, turn_givers, .. } = fleet.get(tables, FleetSummary::of);
@@ -111,8 +114,8 @@
         lock(&self.unresponsive).insert(address, monotonic_ms() + UNRESPONSIVE_MS);
     }
 
-    /// Returns whether an entry runs on another host than all members of the control group, and thus reaches the servers over
-    /// another network path.
+    /// Returns whether an entry runs on another host than all members of the control group, and thus reaches the
+    /// servers over another network path.
     pub fn is_witness(&self, tables: &Tables, entry: &str) -> bool {
         lock(&self.fleet).get(tables, FleetSummary::of).summary.is_witness(tables, entry)
     }
@@ -130,8 +133,8 @@
     }
 }
 
-/// Returns the candidates for the dispatcher of a scope, in order of preference: live entries of its zone on hosts without
-/// a member of the control group.
+/// Returns the candidates for the dispatcher of a scope, in order of preference: live entries of its zone on hosts
+/// without a member of the control group.
 fn dispatcher_candidates(tables: &Tables, summary: &EntrySummary, scope: &DispatchScope) -> Vec<SocketAddr> {
     let key = format!("{}/{}/{}", scope.zone, scope.service, scope.model);
     let is_eligible = |daemon: &&Arc<DaemonRow>| {
@@ -166,8 +169,8 @@
     top_by_weight(server, tables.reachable_daemons())
 }
 
-/// Returns the first [`CANDIDATES`] of the daemons by rendezvous hashing, so that all daemons with the same tables select the
-/// same ones.
+/// Returns the first [`CANDIDATES`] of the daemons by rendezvous hashing, so that all daemons with the same tables
+/// select the same ones.
 fn top_by_weight<'a>(key: &str, daemons: impl Iterator<Item = &'a Arc<DaemonRow>>) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Arc<DaemonRow>> = daemons.collect();
     ranked.sort_by_cached_key(|daemon| std::cmp::Reverse(rendezvous_weight(key, &daemon.record.name)));
--- a/crates/daemon/src/gateway/evacuation.rs
+++ b/crates/daemon/src/gateway/evacuation.rs
@@ -16,9 +16,9 @@
 /// long.
 const MAX_ZONE_BYTES: usize = 64;
 
-/// Evacuates a zone, or ends its evacuation; returns once the change is committed. The command carries the zone's generation
-/// as committed at some time after the call arrived, and is never retried with a newer one: in the meantime, the caller may
-/// have timed out and withdrawn the evacuation. A caller that is still waiting repeats the call.
+/// Evacuates a zone, or ends its evacuation; returns once the change is committed. The command carries the zone's
+/// generation as committed at some time after the call arrived, and is never retried with a newer one: in the meantime,
+/// the caller may have timed out and withdrawn the evacuation. A caller that is still waiting repeats the call.
 pub async fn set_evacuation(
     shared: &Shared,
     zone: String,
@@ -61,8 +61,8 @@
     Ok(())
 }
 
-/// Returns whether a request may still be written to a server in a zone. The server was selected before the connection was
-/// established, and the zone may have been evacuated in the meantime.
+/// Returns whether a request may still be written to a server in a zone. The server was selected before the connection
+/// was established, and the zone may have been evacuated in the meantime.
 pub fn may_write(gateway: &Gateway, zone: &str) -> bool {
     let is_evacuated = gateway.shared.tables().gateway.is_evacuated(zone);
     if is_evacuated {
--- a/crates/daemon/src/gateway/frontend.rs
+++ b/crates/daemon/src/gateway/frontend.rs
@@ -1,6 +1,7 @@
 //! Serves callers' connections.
 //!
-//! hyper is used directly: `poem` can't close a single connection after its current response, which a planned stop requires.
+//! hyper is used directly: `poem` can't close a single connection after its current response, which a planned stop
+//! requires.
 
 use super::body::ResponseBody;
 use super::http_server::ACCEPT_PAUSE;
@@ -18,8 +19,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Margin added to the configured idle timeout, so that a caller that observes the timeout never uses a connection that is
-/// being closed.
+/// Margin added to the configured idle timeout, so that a caller that observes the timeout never uses a connection that
+/// is being closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// Interval at which expired idle connections to servers are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/daemon/src/gateway/headers.rs
+++ b/crates/daemon/src/gateway/headers.rs
@@ -46,8 +46,8 @@
     kept
 }
 
-/// Returns the headers of a caller's request that are forwarded with every send: without the API key if `drop_key` is set,
-/// and without those that only the gateway may set.
+/// Returns the headers of a caller's request that are forwarded with every send: without the API key if `drop_key` is
+/// set, and without those that only the gateway may set.
 pub fn forwarded_headers(headers: &HeaderMap, names: &HeaderNames, drop_key: bool) -> HeaderMap {
     let mut kept = end_to_end(headers);
     kept.remove(CONTENT_LENGTH);
--- a/crates/daemon/src/gateway/load_exchange.rs
+++ b/crates/daemon/src/gateway/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Exchanges load reports with the control leader, or in a large fleet with the dispatcher of each scope in which this entry
-//! has requests: reports this entry's load, and receives that of the other entries.
+//! Exchanges load reports with the control leader, or in a large fleet with the dispatcher of each scope in which this
+//! entry has requests: reports this entry's load, and receives that of the other entries.
 
 use super::Gateway;
 use super::dispatchers::Dispatch;
@@ -96,8 +96,8 @@
     last_reports.retain(|scope, _| loads.contains_key(scope));
     for (scope, load) in loads {
         if last_reports.get(&scope).is_none_or(|last| last.is_outdated(now, &load)) {
-            // The state in the report is stored, not the state read before: a request that begins in between and ends before
-            // the next check would otherwise be reported and never retracted.
+            // The state in the report is stored, not the state read before: a request that begins in between and ends
+            // before the next check would otherwise be reported and never retracted.
             let report = gateway.loads.report_scope(&settings.name, &settings.zone, &scope, pushback);
             last_reports.insert(scope.clone(), LastReport::of(&report, now));
             tokio::spawn(report_to_dispatcher(gateway.clone(), scope, report));
--- a/crates/daemon/src/gateway/loads/group_state.rs
+++ b/crates/daemon/src/gateway/loads/group_state.rs
@@ -77,7 +77,8 @@
         self.serves(query) && self.accepts_requests && query.zones.contains(&self.row.zone)
     }
 
-    /// Returns whether this entry may send one more request to it. `is_granted`: the allowance granted by the leader is recent.
+    /// Returns whether this entry may send one more request to it. `is_granted`: the allowance granted by the leader is
+    /// recent.
     pub fn has_place(&self, is_granted: bool) -> bool {
         if is_granted { self.in_flight < self.allowance } else { self.total() < self.slots }
     }
--- a/crates/daemon/src/gateway/loads/holds.rs
+++ b/crates/daemon/src/gateway/loads/holds.rs
@@ -40,8 +40,8 @@
         groups.iter().filter(|(_, group)| group.may_run(&query)).filter_map(limited).collect()
     }
 
-    /// Returns the heads of groups with a rate limit, for a request whose groups are all at their limits until `free_in_ms` has
-    /// passed.
+    /// Returns the heads of groups with a rate limit, for a request whose groups are all at their limits until
+    /// `free_in_ms` has passed.
     pub fn all_at_limit(
         &self,
         query: PlaceQuery<'_>,
--- a/crates/daemon/src/gateway/loads/mod.rs
+++ b/crates/daemon/src/gateway/loads/mod.rs
@@ -184,8 +184,8 @@
         self.changes.subscribe()
     }
 
-    /// Returns a future that completes once a place may have become free since this call: because a group has opened, a request
-    /// has ended, or the evacuation of a zone has ended.
+    /// Returns a future that completes once a place may have become free since this call: because a group has opened, a
+    /// request has ended, or the evacuation of a zone has ended.
     pub fn place_freed(&self) -> Notified<'_> {
         self.freed.notified()
     }
@@ -195,8 +195,8 @@
         self.entries.load(Ordering::Relaxed)
     }
 
-    /// Takes a place at the best group according to this entry's own load figures. Groups with a cold head are excluded, because
-    /// this entry doesn't know how much the other entries send there.
+    /// Takes a place at the best group according to this entry's own load figures. Groups with a cold head are
+    /// excluded, because this entry doesn't know how much the other entries send there.
     pub fn take_best(gateway: &Arc<super::Gateway>, query: PlaceQuery<'_>) -> PlaceResult {
         let now = monotonic_ms();
         let own_zone = &gateway.shared.settings.zone;
@@ -243,8 +243,8 @@
             .map_or(PlaceResult::Full, PlaceResult::Taken)
     }
 
-    /// Takes a place that a dispatcher has assigned, requested at `requested_at`; `None` if the group is not known to this entry,
-    /// accepts no new requests, or may not run the request.
+    /// Takes a place that a dispatcher has assigned, requested at `requested_at`; `None` if the group is not known to
+    /// this entry, accepts no new requests, or may not run the request.
     pub fn take_assigned(
         gateway: &Arc<super::Gateway>,
         query: PlaceQuery<'_>,
--- a/crates/daemon/src/gateway/loads/reports.rs
+++ b/crates/daemon/src/gateway/loads/reports.rs
@@ -11,11 +11,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering;
 
-/// A back-off with less than this time remaining is not reported, in milliseconds: no other group could be opened before it
-/// ends, and a plan that changes with each short back-off never becomes stable.
+/// A back-off with less than this time remaining is not reported, in milliseconds: no other group could be opened
+/// before it ends, and a plan that changes with each short back-off never becomes stable.
 const MIN_REPORTED_BACKOFF_MS: Millis = 10_000;
 
-/// Returns for how long the head of a group will stay on hold at this entry; 0 for holds that are too short to be planned for.
+/// Returns for how long the head of a group will stay on hold at this entry; 0 for holds that are too short to be
+/// planned for.
 fn held_for_ms(row: &GroupRow, pushback: &Pushback, now: Millis) -> Millis {
     if pushback.is_empty() {
         return 0;
@@ -52,7 +53,8 @@
         LoadReport { daemon: daemon.to_string(), scope: None, groups, models }
     }
 
-    /// Creates the report to the dispatcher of a scope. The demand is reported to the dispatcher in this entry's own zone.
+    /// Creates the report to the dispatcher of a scope. The demand is reported to the dispatcher in this entry's own
+    /// zone.
     pub fn report_scope(
         &self,
         daemon: &str,
@@ -110,7 +112,8 @@
         scopes
     }
 
-    /// Returns the zones with groups that accept a model's requests: this entry's own zone first, the others in random order.
+    /// Returns the zones with groups that accept a model's requests: this entry's own zone first, the others in random
+    /// order.
     pub fn zones(&self, query: PlaceQuery<'_>, own_zone: &str) -> Vec<String> {
         let groups = lock(&self.groups);
         let serving = groups.values().filter(|group| group.may_run(&query));
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -181,8 +181,8 @@
     metrics.departing_groups.set(departing_groups(tables) as i64);
 }
 
-/// Applies newly published tables indefinitely, and compiles each new configuration. A route table is never replaced by an
-/// older one.
+/// Applies newly published tables indefinitely, and compiles each new configuration. A route table is never replaced by
+/// an older one.
 async fn follow_publications(gateway: Arc<Gateway>) {
     let mut publications = gateway.shared.watch_publications();
     let mut unknown_regions = regions::UnknownRegions::default();
--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -22,8 +22,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum time that a request waits for servers on hold, as a percentage of the latency target: it can still be answered in
-/// time after that.
+/// Maximum time that a request waits for servers on hold, as a percentage of the latency target: it can still be
+/// answered in time after that.
 const HOLD_WAIT_PERCENT: u64 = 50;
 /// Minimum duration of one such wait.
 const MIN_HOLD_WAIT: Duration = Duration::from_millis(1);
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Handles the case that no server is available: waits for one whose hold ends soon if the request has not been sent to
-    /// any server yet, and refuses the request otherwise.
+    /// Handles the case that no server is available: waits for one whose hold ends soon if the request has not been
+    /// sent to any server yet, and refuses the request otherwise.
     async fn wait_or_refuse(
         &mut self,
         unavailable: Unavailable,
@@ -235,8 +235,8 @@
 
     /// Sends the request to one server. `Err` if there is no response to forward.
     async fn send(&mut self, selected: SelectedServer) -> Result<ServerResponse, SendOutcome> {
-        // An idle connection may be closed by the server at any moment, so a request that must run at most once is never sent
-        // on one.
+        // An idle connection may be closed by the server at any moment, so a request that must run at most once is
+        // never sent on one.
         let needs_new_connection = !self.received.route.is_repeatable();
         self.request_log.record_send(&selected.row.id, None, None);
         let Ok(mut upstream) = self.gateway.pool.connection(selected.row.address, needs_new_connection).await
--- a/crates/daemon/src/gateway/readiness.rs
+++ b/crates/daemon/src/gateway/readiness.rs
@@ -7,8 +7,8 @@
 use hyper::{Request, Response, StatusCode};
 use std::sync::Arc;
 
-/// Responds on the readiness path with 200 while this daemon holds a lease and a configuration and no planned stop has begun, and with 503
-/// otherwise.
+/// Responds on the readiness path with 200 while this daemon holds a lease and a configuration and no planned stop has
+/// begun, and with 503 otherwise.
 pub async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != gateway.dialect.readiness_path() {
         return empty_response(StatusCode::NOT_FOUND);
--- a/crates/daemon/src/gateway/receive.rs
+++ b/crates/daemon/src/gateway/receive.rs
@@ -223,8 +223,8 @@
     }
 }
 
-/// Returns whether a request that has waited may still be sent: the newest configuration accepts its API key for its route,
-/// and this daemon holds a configuration lease.
+/// Returns whether a request that has waited may still be sent: the newest configuration accepts its API key for its
+/// route, and this daemon holds a configuration lease.
 pub fn may_still_send(gateway: &Gateway, received: &ReceivedRequest) -> bool {
     let table: Arc<RouteTable> = gateway.routes.load_full();
     let is_key_valid =
--- a/crates/daemon/src/gateway/report_forwarding.rs
+++ b/crates/daemon/src/gateway/report_forwarding.rs
@@ -18,8 +18,8 @@
 
 /// Time limit for a report: callers try another daemon after one second.
 const CALL_TIMEOUT: Duration = Duration::from_millis(850);
-/// Time for which unchanged reports are collected. The call still completes within [`CALL_TIMEOUT`], and the leader receives
-/// five calls per second from each daemon.
+/// Time for which unchanged reports are collected. The call still completes within [`CALL_TIMEOUT`], and the leader
+/// receives five calls per second from each daemon.
 const BATCH_WINDOW: Duration = Duration::from_millis(200);
 /// Maximum number of servers whose last report is kept to detect changes; when it is reached, all are removed.
 const MAX_KNOWN: usize = 4_096;
@@ -27,7 +27,7 @@
 /// A report that is waiting to be forwarded.
 struct PendingReport {
     report: InstanceReport,
-    answer: oneshot::Sender<Result<(), ApiError>>,
+    result_sender: oneshot::Sender<Result<(), ApiError>>,
 }
 
 /// Reports that are being forwarded to the leader.
@@ -48,10 +48,10 @@
     }
     let report_forwarder = &gateway.report_forwarder;
     let is_change = report_forwarder.is_change(&report);
-    let (answer, answered) = oneshot::channel();
+    let (result_sender, result_receiver) = oneshot::channel();
     let is_first = {
         let mut pending = lock(&report_forwarder.pending);
-        pending.push(PendingReport { report, answer });
+        pending.push(PendingReport { report, result_sender });
         pending.len() == 1
     };
     if is_first {
@@ -61,11 +61,11 @@
         report_forwarder.change_arrived.notify_one();
     }
     let dropped = || Err(ApiError::new(ResultCode::ProposalDropped, "the report was not passed on"));
-    answered.await.unwrap_or_else(|_| dropped())
+    result_receiver.await.unwrap_or_else(|_| dropped())
 }
 
-/// Returns whether each report is forwarded separately: in a fleet that is known to be small. A member of the control group
-/// that has no tables yet batches reports, because without a leader each of them would be retried repeatedly.
+/// Returns whether each report is forwarded separately: in a fleet that is known to be small. A member of the control
+/// group that has no tables yet batches reports, because without a leader each of them would be retried repeatedly.
 fn forwards_individually(shared: &Shared) -> bool {
     let tables = shared.tables();
     tables.revision > 0 && shared.dispatchers.mode(&tables) == Dispatch::Leader
@@ -103,7 +103,7 @@
             report_forwarder.record_acknowledged(pending.report);
         }
         // The receiver is gone if the server's call timed out; the server reports again.
-        let _ = pending.answer.send(result);
+        let _ = pending.result_sender.send(result);
     }
 }
 
@@ -120,6 +120,6 @@
         .members
         .iter()
         .filter(|member| member.is_reachable && member.zone == zone && member.peer != leader);
-    let chosen = in_zone.max_by_key(|member| rendezvous_weight(report_id, &member.name));
-    chosen.map(|member| member.operators)
+    let selected = in_zone.max_by_key(|member| rendezvous_weight(report_id, &member.name));
+    selected.map(|member| member.operators)
 }
--- a/crates/daemon/src/gateway/response_head.rs
+++ b/crates/daemon/src/gateway/response_head.rs
@@ -53,8 +53,9 @@
     status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key(names.not_run)
 }
 
-/// Returns whether a response must not be forwarded because of its status: callers interpret the status as a guarantee that
-/// the request has not run and won't, and the server did not state that. Repeatable requests need no such guarantee.
+/// Returns whether a response must not be forwarded because of its status: callers interpret the status as a guarantee
+/// that the request has not run and won't, and the server did not state that. Repeatable requests need no such
+/// guarantee.
 fn falsely_implies_not_run(status: StatusCode, received: &ReceivedRequest) -> bool {
     let implies_not_run = matches!(
         status,
--- a/crates/daemon/src/gateway/responses.rs
+++ b/crates/daemon/src/gateway/responses.rs
@@ -10,9 +10,9 @@
 
 /// Retry time after a refusal for a short-lived reason, in milliseconds.
 pub const RETRY_SOON_MS: u64 = 250;
-/// Range of the retry time of a daemon that has just started and has no configuration yet, in milliseconds. If all daemons
-/// were down, they elect a leader within about a second, and the requests refused in the meantime are retried spread over
-/// the second after that.
+/// Range of the retry time of a daemon that has just started and has no configuration yet, in milliseconds. If all
+/// daemons were down, they elect a leader within about a second, and the requests refused in the meantime are retried
+/// spread over the second after that.
 const RETRY_AFTER_START_MS: std::ops::Range<u64> = 900..2_200;
 
 /// Returns a random retry time for a daemon that has just started.
--- a/crates/daemon/src/gateway/server_selection.rs
+++ b/crates/daemon/src/gateway/server_selection.rs
@@ -43,8 +43,9 @@
     }
 }
 
-/// Returns the ready servers that may be sent a request now, with this entry's rate for them if the service limits sends to
-/// cold servers. Only warm servers are returned if there are any, because cold ones are slow and can process few requests.
+/// Returns the ready servers that may be sent a request now, with this entry's rate for them if the service limits
+/// sends to cold servers. Only warm servers are returned if there are any, because cold ones are slow and can process
+/// few requests.
 fn sendable_servers<'a>(
     gateway: &Gateway,
     tables: &Tables,
@@ -78,8 +79,8 @@
     tables.instances.values().filter(|row| may_run(row) && is_ready(row)).collect()
 }
 
-/// Returns the ready servers that are not on hold and have not been tried yet; `Err` with the servers on hold if they are the
-/// reason that there is none.
+/// Returns the ready servers that are not on hold and have not been tried yet; `Err` with the servers on hold if they
+/// are the reason that there is none.
 fn servers_without_hold<'a>(
     gateway: &Gateway,
     ready: Vec<&'a Arc<InstanceRow>>,
@@ -90,8 +91,8 @@
     if others.is_empty() && !held.is_empty() { Err(held) } else { Ok(others) }
 }
 
-/// Selects a server for a request, other than the excluded ones. For a suspect, zones in which it has crashed no server are
-/// preferred. `Err` with the reason if there is none.
+/// Selects a server for a request, other than the excluded ones. For a suspect, zones in which it has crashed no server
+/// are preferred. `Err` with the reason if there is none.
 pub fn select_server(
     gateway: &Arc<Gateway>,
     received: &ReceivedRequest,
@@ -111,7 +112,8 @@
     })
 }
 
-/// Selects a server of a service in the allowed zones that has not been tried yet; `Err` with the reason if there is none.
+/// Selects a server of a service in the allowed zones that has not been tried yet; `Err` with the reason if there is
+/// none.
 fn select_from_zones(
     gateway: &Arc<Gateway>,
     service: &ServiceProfile,
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -16,8 +16,8 @@
 }
 
 impl Source {
-    /// Returns whether a request may be written to it now. Must be called immediately before writing: the process may have
-    /// been suspended since the source was selected.
+    /// Returns whether a request may be written to it now. Must be called immediately before writing: the process may
+    /// have been suspended since the source was selected.
     pub fn may_send(&self, gateway: &Gateway, service: &str) -> bool {
         let (is_cold, valid_until) = match self {
             Source::Group(place) => (place.is_cold, place.valid_until),
--- a/crates/daemon/src/gateway/stalls.rs
+++ b/crates/daemon/src/gateway/stalls.rs
@@ -20,8 +20,8 @@
     SendOutcome::Abandoned
 }
 
-/// Returns the outcome of a send whose connection broke. A group whose head process is gone is avoided from now on, and the
-/// control leader is told that the head refuses connections.
+/// Returns the outcome of a send whose connection broke. A group whose head process is gone is avoided from now on, and
+/// the control leader is told that the head refuses connections.
 pub async fn broken_connection_outcome(gateway: &Gateway, source: &Source) -> SendOutcome {
     let outcome = gateway.pool.broken_connection_outcome(source.address()).await;
     if let (SendOutcome::ServerEnded, Source::Group(place)) = (outcome, source) {
@@ -30,9 +30,9 @@
     outcome
 }
 
-/// Completes once the source counts as stalled; it has sent nothing since `since`. After the suspicion timeout, the group is
-/// avoided for new requests and its members are probed. After the grace period, or as soon as the group is closed, this
-/// request is moved to another source.
+/// Completes once the source counts as stalled; it has sent nothing since `since`. After the suspicion timeout, the
+/// group is avoided for new requests and its members are probed. After the grace period, or as soon as the group is
+/// closed, this request is moved to another source.
 pub async fn wait_for_stall(
     gateway: &Gateway,
     source: &Source,
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Streams of events. Complete events are forwarded as they arrive, and a stream that breaks or stalls is resumed at another
-//! source. The caller receives one response, with the head of the first server's response.
+//! Streams of events. Complete events are forwarded as they arrive, and a stream that breaks or stalls is resumed at
+//! another source. The caller receives one response, with the head of the first server's response.
 
 mod reading;
 mod selection;
--- a/crates/daemon/src/gateway/stream/reading.rs
+++ b/crates/daemon/src/gateway/stream/reading.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Takes the next complete event from the buffer, without events that the caller already has: a resumed stream may begin
-    /// with them.
+    /// Takes the next complete event from the buffer, without events that the caller already has: a resumed stream may
+    /// begin with them.
     fn next_event(&mut self) -> Option<StreamEvent> {
         let reading = self.reading.as_mut()?;
         let (has_forwarded, last_event) = (self.has_forwarded, self.last_event);
--- a/crates/daemon/src/gateway/stream/selection.rs
+++ b/crates/daemon/src/gateway/stream/selection.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maximum time that a request waits for a place, as a percentage of the first-event target: after half of the target, the
-/// first event can still be in time. Waiting for 150% of the target was measured to serve no more requests, because waiting
-/// requests were served before new ones.
+/// Maximum time that a request waits for a place, as a percentage of the first-event target: after half of the target,
+/// the first event can still be in time. Waiting for 150% of the target was measured to serve no more requests, because
+/// waiting requests were served before new ones.
 const PLACE_WAIT_PERCENT: u64 = 50;
 
 /// Sources that were found to run other suspects.
--- a/crates/daemon/src/gateway/stream/sending.rs
+++ b/crates/daemon/src/gateway/stream/sending.rs
@@ -23,7 +23,8 @@
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 impl StreamRequest {
-    /// Sends the request to one source. On success, the stream is being read, or a response that is not a stream is returned.
+    /// Sends the request to one source. On success, the stream is being read, or a response that is not a stream is
+    /// returned.
     pub(super) async fn send(
         &mut self,
         source: Source,
--- a/crates/daemon/src/gateway/upstream.rs
+++ b/crates/daemon/src/gateway/upstream.rs
@@ -1,8 +1,8 @@
-//! Connections to servers. A connection carries one request at a time, and is closed if it receives data that belongs to no
-//! request. It is reused only after a complete response.
+//! Connections to servers. A connection carries one request at a time, and is closed if it receives data that belongs
+//! to no request. It is reused only after a complete response.
 //!
-//! hyper is used directly: `reqwest` doesn't report whether a request reached its connection, and can't close a connection
-//! together with its request.
+//! hyper is used directly: `reqwest` doesn't report whether a request reached its connection, and can't close a
+//! connection together with its request.
 
 use crate::lock::lock;
 use crate::pushback::SendPermit;
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Returns whether the server process at an address has ended, which is the case if its machine refuses connections. This
-    /// does not happen with a network partition, a machine without power, a slow server, or one that only closed a connection.
-    /// If a connection is established, it is kept in the pool.
+    /// Returns whether the server process at an address has ended, which is the case if its machine refuses
+    /// connections. This does not happen with a network partition, a machine without power, a slow server, or one that
+    /// only closed a connection. If a connection is established, it is kept in the pool.
     pub async fn process_has_ended(&self, address: SocketAddr) -> bool {
         match tokio::time::timeout(CHECK_LIMIT, Upstream::connect(address)).await {
             Ok(Ok(upstream)) => {
--- a/crates/daemon/tests/gateway/behavior.rs
+++ b/crates/daemon/tests/gateway/behavior.rs
@@ -47,5 +47,5 @@
     /// Back-off requested in the response.
     pub backoff: Option<Duration>,
     /// Rate limit announced in the response, in requests per second.
-    pub named: Option<f64>,
+    pub announced_limit: Option<f64>,
 }
--- a/crates/daemon/tests/gateway/evacuation.rs
+++ b/crates/daemon/tests/gateway/evacuation.rs
@@ -16,7 +16,8 @@
 /// A daemon whose state does not change for this long has applied everything that was committed before.
 const OBSERVED_FOR: Duration = Duration::from_secs(2);
 
-/// Maximum number of entries for which the leader dispatches, where it has to dispatch for the two entries of these tests.
+/// Maximum number of entries for which the leader dispatches, where it has to dispatch for the two entries of these
+/// tests.
 const SMALL_FLEET: u32 = 64;
 /// The same where the entries have to dispatch for each other.
 const LARGE_FLEET: u32 = 0;
--- a/crates/daemon/tests/gateway/fixture.rs
+++ b/crates/daemon/tests/gateway/fixture.rs
@@ -16,8 +16,9 @@
 
 /// Generous time limit: the tests check responses, not times.
 pub const LIMIT: Duration = Duration::from_secs(30);
-/// In-memory file system, used if it exists. On a busy machine a synced write has taken 4 s, and no voter proceeds without its
-/// own write, but these tests check responses, not disks. Data written by a killed process is preserved in memory, too.
+/// In-memory file system, used if it exists. On a busy machine a synced write has taken 4 s, and no voter proceeds
+/// without its own write, but these tests check responses, not disks. Data written by a killed process is preserved in
+/// memory, too.
 const MEMORY_DIRECTORY: &str = "/dev/shm";
 const PEER_PORT: u16 = 7_100;
 const OPERATORS_PORT: u16 = 7_200;
@@ -140,7 +141,7 @@
         seeds: Vec<SocketAddr>,
     ) -> Daemon {
         let address = |port| self.address(host, port);
-        let data_folder = self.folder.path().join(format!("{name}-data"));
+        let data_directory = self.folder.path().join(format!("{name}-data"));
         let mut gateway = if member {
             json!({ "operators": address(OPERATORS_PORT), "stallMs": 1000, "stopLimitSeconds": 8 })
         } else {
@@ -157,7 +158,7 @@
             "listen": { "peer": address(PEER_PORT), "http": address(PEER_PORT + 1) },
             "control": {
                 "seeds": seeds, "seedPeerPort": PEER_PORT, "founding": founding, "member": member,
-                "dataFolder": data_folder,
+                "dataFolder": data_directory,
             },
             "gateway": gateway,
             "tokens": [{ "name": "operator", "role": "write", "token": OPERATOR_TOKEN }],
@@ -165,7 +166,7 @@
         });
         let path = self.folder.path().join(format!("{name}.yaml"));
         std::fs::write(&path, settings.to_string()).unwrap_or_else(|error| panic!("{error}"));
-        Daemon::new(path, data_folder)
+        Daemon::new(path, data_directory)
     }
 
     fn entry_count(&self) -> u8 {
--- a/crates/daemon/tests/gateway/leader_search.rs
+++ b/crates/daemon/tests/gateway/leader_search.rs
@@ -45,11 +45,11 @@
 }
 
 fn delete_data(daemon: &Daemon) {
-    std::fs::remove_dir_all(&daemon.data_folder).unwrap_or_else(|error| panic!("{error}"));
+    std::fs::remove_dir_all(&daemon.data_directory).unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// No seed knows a leader: one lost its disk, one was never admitted as a voter, and one replaces a lost voter at an address
-/// that is not in any table.
+/// No seed knows a leader: one lost its disk, one was never admitted as a voter, and one replaces a lost voter at an
+/// address that is not in any table.
 #[tokio::test]
 async fn a_fleet_recovers_if_no_seed_knows_a_leader() {
     let mut fleet = Fleet::start();
--- a/crates/daemon/tests/gateway/limit_check.rs
+++ b/crates/daemon/tests/gateway/limit_check.rs
@@ -63,7 +63,7 @@
     is_exempt: impl Fn(&Arrival) -> bool,
     checks_fleet: bool,
 ) -> Option<Excess> {
-    let first_named = arrivals.iter().find(|arrival| arrival.named.is_some())?.at;
+    let first_named = arrivals.iter().find(|arrival| arrival.announced_limit.is_some())?.at;
     let informed = informed_at(arrivals);
     let is_from_informed_entry = |arrival: &Arrival| {
         !is_exempt(arrival)
@@ -96,7 +96,7 @@
 /// Returns when a response first announced a limit to each entry.
 fn informed_at(arrivals: &[Arrival]) -> BTreeMap<&str, Instant> {
     let mut informed = BTreeMap::new();
-    for arrival in arrivals.iter().filter(|arrival| arrival.named.is_some()) {
+    for arrival in arrivals.iter().filter(|arrival| arrival.announced_limit.is_some()) {
         informed.entry(entry_of(arrival)).or_insert(arrival.at);
     }
     informed
@@ -107,7 +107,7 @@
     // The limit in force at the start of the window was announced in a response before it.
     let before = arrivals.iter().rev().find(|arrival| arrival.at + INFORMED_AFTER <= since);
     let within = arrivals.iter().filter(|arrival| arrival.at + INFORMED_AFTER > since && arrival.at <= until);
-    let first_named = arrivals.iter().find(|arrival| arrival.named.is_some())?.at;
+    let first_named = arrivals.iter().find(|arrival| arrival.announced_limit.is_some())?.at;
     let named = before.into_iter().chain(within).filter(|arrival| arrival.at >= first_named);
-    named.map(|arrival| arrival.named).try_fold(0.0_f64, |highest, limit| Some(highest.max(limit?)))
+    named.map(|arrival| arrival.announced_limit).try_fold(0.0_f64, |highest, limit| Some(highest.max(limit?)))
 }
--- a/crates/daemon/tests/gateway/main.rs
+++ b/crates/daemon/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests of the gateway without the bench: daemons run as processes and discover each other through seeds, fake
-//! servers register themselves and form groups, and the tests inject failures.
+//! End-to-end tests of the gateway without the bench: daemons run as processes and discover each other through seeds,
+//! fake servers register themselves and form groups, and the tests inject failures.
 
 mod behavior;
 mod cold_servers;
@@ -24,8 +24,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A dispatcher counts a request for up to one second after its entry's last report on it (`FORGET_MS` of the grouping crate);
-/// entries report the end of a stream within 0.2 s. After this time, no request that has ended is counted.
+/// A dispatcher counts a request for up to one second after its entry's last report on it (`FORGET_MS` of the grouping
+/// crate); entries report the end of a stream within 0.2 s. After this time, no request that has ended is counted.
 const DISPATCHER_FORGETS_WITHIN: Duration = Duration::from_millis(1_300);
 
 fn complete_stream() -> String {
@@ -44,7 +44,8 @@
     }
     fleet.configure(&configuration(1)).await;
     fleet.wait_until_served("/stream/1").await;
-    // The state of the members is not sufficient: an entry learns of an open group after its head has reported to the leader.
+    // The state of the members is not sufficient: an entry learns of an open group after its head has reported to the
+    // leader.
     fleet.wait_until_open("writer", 2).await;
     (fleet, models)
 }
@@ -224,8 +225,8 @@
     Ok(())
 }
 
-/// Guards against a fault found in a search with random faults: streams were moved away from groups that were only completing
-/// their remaining requests, and some of them found no place at another group.
+/// Guards against a fault found in a search with random faults: streams were moved away from groups that were only
+/// completing their remaining requests, and some of them found no place at another group.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stream_completes_at_its_group_when_members_drain() -> reqwest::Result<()> {
     let (fleet, models) = with_groups().await;
@@ -267,7 +268,7 @@
         let version = lost as u64 + 2;
         fleet.configure(&configuration(version)).await;
         fleet.members[lost].kill();
-        let folder = fleet.members[lost].data_folder.clone();
+        let folder = fleet.members[lost].data_directory.clone();
         std::fs::remove_dir_all(folder).unwrap_or_else(|error| panic!("{error}"));
         let name = format!("member-{lost}");
         let mut replaced = fleet.daemon(&name, lost as u8, true, false);
@@ -308,8 +309,8 @@
     assert_eq!(fleet.settled_version().await, Some(3));
 }
 
-/// In a large fleet, an entry gets its places from a dispatcher, and does not use its own load figures while the dispatcher
-/// responds.
+/// In a large fleet, an entry gets its places from a dispatcher, and does not use its own load figures while the
+/// dispatcher responds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_dispatcher_spreads_the_requests_of_all_entries() -> reqwest::Result<()> {
     let (mut fleet, models) = with_groups_of(Fleet::start_dispatched(0)).await;
@@ -335,8 +336,8 @@
     Ok(())
 }
 
-/// Guards against a fault in which daemons without a disk never returned the configuration. In a fleet in which 22 of the 27
-/// daemons that accept operators' calls had no disk, an operator that tried several of them in turn gave up.
+/// Guards against a fault in which daemons without a disk never returned the configuration. In a fleet in which 22 of
+/// the 27 daemons that accept operators' calls had no disk, an operator that tried several of them in turn gave up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_diskless_daemon_returns_the_configuration_and_accepts_reports() -> reqwest::Result<()> {
     let fleet = Fleet::start();
@@ -374,8 +375,8 @@
     Ok(())
 }
 
-/// Guards against a fault in which four of eleven entries were partitioned from the control group for seven seconds, lost their
-/// leases after three, and refused the callers of a whole zone although they could reach the other entries.
+/// Guards against a fault in which four of eleven entries were partitioned from the control group for seven seconds,
+/// lost their leases after three, and refused the callers of a whole zone although they could reach the other entries.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_without_a_path_to_members_gets_its_lease_through_another_entry() -> reqwest::Result<()> {
     let (fleet, _servers) = with_plain_servers().await;
@@ -396,8 +397,8 @@
     Ok(())
 }
 
-/// Guards against a fault in which callers of interrupted streams, after all daemons had been down, retried at daemons that had
-/// just started, were refused, and had no attempt left.
+/// Guards against a fault in which callers of interrupted streams, after all daemons had been down, retried at daemons
+/// that had just started, were refused, and had no attempt left.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_caller_of_an_interrupted_stream_waits_for_a_starting_daemon() -> reqwest::Result<()> {
     let fleet = Fleet::start();
--- a/crates/daemon/tests/gateway/promises.rs
+++ b/crates/daemon/tests/gateway/promises.rs
@@ -1,5 +1,5 @@
-//! Guarantees to callers, operators and servers during failures: a "not run" response is correct, calls complete within their
-//! time limits, and the directory removes entries that are gone.
+//! Guarantees to callers, operators and servers during failures: a "not run" response is correct, calls complete within
+//! their time limits, and the directory removes entries that are gone.
 
 use super::fixture::{Daemon, Fleet, LIMIT, configuration};
 use super::servers::{Behavior, FakeServer};
@@ -22,8 +22,8 @@
 /// Time for which a leaving server accepts requests after the acknowledgement.
 const SERVES_AFTER_ACKNOWLEDGEMENT: Duration = Duration::from_millis(2_500);
 
-/// Callers interpret these statuses as a guarantee that the request did not run. This is only valid if the server states so
-/// itself.
+/// Callers interpret these statuses as a guarantee that the request did not run. This is only valid if the server
+/// states so itself.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_status_that_implies_not_run_is_not_forwarded_if_the_request_ran() -> reqwest::Result<()> {
     let (fleet, servers) = with_plain_servers().await;
@@ -73,8 +73,8 @@
     Ok(())
 }
 
-/// A connection whose next request does not arrive completely is closed without a response, so that no response can be mistaken
-/// for that to the previous request.
+/// A connection whose next request does not arrive completely is closed without a response, so that no response can be
+/// mistaken for that to the previous request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_incomplete_request_head_gets_no_response() -> std::io::Result<()> {
     let fleet = Fleet::start();
@@ -140,8 +140,8 @@
     Ok(())
 }
 
-/// Sends a report to the members in turn, like a server, until one acknowledges it, and asserts that each responds in time.
-/// Returns how long this took.
+/// Sends a report to the members in turn, like a server, until one acknowledges it, and asserts that each responds in
+/// time. Returns how long this took.
 async fn report_until_acknowledged(fleet: &Fleet, members: &[usize], report: &InstanceReport) -> Duration {
     let started = Instant::now();
     for member in members.iter().cycle() {
--- a/crates/daemon/tests/gateway/regions.rs
+++ b/crates/daemon/tests/gateway/regions.rs
@@ -11,12 +11,12 @@
 
 /// First-event target of a test that distinguishes an immediate refusal from one after waiting for half of the target.
 const LONG_TARGET_MS: u64 = 8_000;
-/// An immediate refusal arrives within this time, also on a busy machine. Much shorter than that wait and the requests' time
-/// limit.
+/// An immediate refusal arrives within this time, also on a busy machine. Much shorter than that wait and the requests'
+/// time limit.
 const IMMEDIATE: Duration = Duration::from_secs(1);
 
-/// Returns a configuration whose routes allow the given regions, with three tenants: one allows any region, one only `r`, and
-/// one only `s`.
+/// Returns a configuration whose routes allow the given regions, with three tenants: one allows any region, one only
+/// `r`, and one only `s`.
 fn restricted(version: u64, regions: &[&str]) -> Value {
     let mut configuration = configuration(version);
     for route in configuration["routes"].as_array_mut().into_iter().flatten() {
--- a/crates/daemon/tests/gateway/servers.rs
+++ b/crates/daemon/tests/gateway/servers.rs
@@ -172,8 +172,8 @@
         (before + 1) * percent / 100 > before * percent / 100
     }
 
-    /// Simulates a crash: the port refuses connections, open connections break, and reports cease. The server restarts after
-    /// [`RESTARTS_AFTER`].
+    /// Simulates a crash: the port refuses connections, open connections break, and reports cease. The server restarts
+    /// after [`RESTARTS_AFTER`].
     fn crash(self: Arc<Self>) {
         if self.has_crashed.swap(true, Ordering::SeqCst) {
             return;
@@ -309,13 +309,18 @@
         Behavior::RequestsBackoff(backoff) => Some(Duration::from_secs(backoff.seconds)),
         _ => None,
     };
-    let named = *lock(&server.limit);
-    lock(&server.arrivals).push(Arrival { at: Instant::now(), attempt: attempt.clone(), backoff, named });
+    let announced_limit = *lock(&server.limit);
+    lock(&server.arrivals).push(Arrival {
+        at: Instant::now(),
+        attempt: attempt.clone(),
+        backoff,
+        announced_limit,
+    });
     let mut answer = answer(server.clone(), request, body, behavior, attempt).await;
     if server.announces_leaving.load(Ordering::SeqCst) {
         answer.headers_mut().insert("dockwood-leaving", HeaderValue::from_static("1"));
     }
-    if let Some(limit) = named.and_then(|limit| HeaderValue::from_str(&limit.to_string()).ok()) {
+    if let Some(limit) = announced_limit.and_then(|limit| HeaderValue::from_str(&limit.to_string()).ok()) {
         answer.headers_mut().insert("dockwood-limit", limit);
     }
     answer
