--- a/crates/daemon/src/gateway/assignment.rs
+++ b/crates/daemon/src/gateway/assignment.rs
@@ -2,7 +2,7 @@
 //! from this entry's own load figures if no dispatcher responds in time.
 
 use super::Gateway;
-use super::dispatchers::Dispatch;
+use super::dispatchers::DispatchMode;
 use super::evacuation::no_group_code;
 use super::loads::{GroupPlace, Loads, PlaceQuery, PlaceResult};
 use crate::clock::monotonic_ms;
@@ -100,8 +100,8 @@
         }
         // The leader reports places that become free at other entries; dispatchers have to be polled.
         let until = match gateway.shared.dispatchers.mode(&gateway.shared.tables()) {
-            Dispatch::Leader => deadline,
-            Dispatch::Scopes => deadline.min(Instant::now() + POLL_INTERVAL),
+            DispatchMode::Leader => deadline,
+            DispatchMode::Scopes => deadline.min(Instant::now() + POLL_INTERVAL),
         };
         let was_notified = tokio::time::timeout_at(until, freed).await.is_ok();
         if !was_notified && until >= deadline {
@@ -134,8 +134,8 @@
 /// Requests a place at any group that is not excluded, from a dispatcher or from this entry's own load figures.
 async fn request_place_elsewhere(gateway: &Arc<Gateway>, query: PlaceQuery<'_>) -> PlaceResult {
     let response = match gateway.shared.dispatchers.mode(&gateway.shared.tables()) {
-        Dispatch::Leader => ask_leader(gateway, query).await,
-        Dispatch::Scopes => ask_zones(gateway, query).await,
+        DispatchMode::Leader => ask_leader(gateway, query).await,
+        DispatchMode::Scopes => ask_zones(gateway, query).await,
     };
     let Some(DispatcherReply { reply, requested_at }) = response else {
         return Loads::take_best(gateway, query);
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -23,7 +23,7 @@
 
 /// Which daemons dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Dispatch {
+pub enum DispatchMode {
     /// The control leader, for all groups.
     Leader,
     /// One dispatcher per scope.
@@ -70,9 +70,9 @@
     }
 
     /// Returns which daemons dispatch in this fleet.
-    pub fn mode(&self, tables: &Tables) -> Dispatch {
+    pub fn mode(&self, tables: &Tables) -> DispatchMode {
         let is_large = self.entries(tables) as usize > self.leader_dispatches_up_to;
-        if is_large { Dispatch::Scopes } else { Dispatch::Leader }
+        if is_large { DispatchMode::Scopes } else { DispatchMode::Leader }
     }
 
     /// Returns the peer address of the dispatcher of a scope; `None` if there is none, or all candidates are
--- a/crates/daemon/src/gateway/load_exchange.rs
+++ b/crates/daemon/src/gateway/load_exchange.rs
@@ -2,7 +2,7 @@
 //! entry has requests: reports this entry's load, and receives that of the other entries.
 
 use super::Gateway;
-use super::dispatchers::Dispatch;
+use super::dispatchers::DispatchMode;
 use super::loads::ScopeLoad;
 use crate::clock::monotonic_ms;
 use dockwood_api::gateway::{DispatchScope, GroupLoad, LoadReport};
@@ -55,11 +55,11 @@
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             () = gateway.loads.urgent.notified() => {}
-            () = gateway.loads.ended.notified(), if mode == Dispatch::Scopes => {}
+            () = gateway.loads.ended.notified(), if mode == DispatchMode::Scopes => {}
         }
         match mode {
-            Dispatch::Leader => pause = report_to_leader(&gateway).await,
-            Dispatch::Scopes => {
+            DispatchMode::Leader => pause = report_to_leader(&gateway).await,
+            DispatchMode::Scopes => {
                 pause = SCOPES_INTERVAL;
                 report_to_dispatchers(&gateway, &mut last_reports);
             }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -28,7 +28,7 @@
 mod upstream;
 
 pub use cold::ColdServers;
-pub use dispatchers::{Dispatch, Dispatchers};
+pub use dispatchers::{DispatchMode, Dispatchers};
 pub use evacuation::set_evacuation;
 
 use crate::dialect::Dialect;
--- a/crates/daemon/src/gateway/report_forwarding.rs
+++ b/crates/daemon/src/gateway/report_forwarding.rs
@@ -3,7 +3,7 @@
 //! forwarded immediately, together with all pending ones.
 
 use super::Gateway;
-use super::dispatchers::Dispatch;
+use super::dispatchers::DispatchMode;
 use crate::lock::lock;
 use crate::peer::register;
 use crate::shared::Shared;
@@ -68,7 +68,7 @@
 /// group that has no tables yet batches reports, because without a leader each of them would be retried repeatedly.
 fn forwards_individually(shared: &Shared) -> bool {
     let tables = shared.tables();
-    tables.revision > 0 && shared.dispatchers.mode(&tables) == Dispatch::Leader
+    tables.revision > 0 && shared.dispatchers.mode(&tables) == DispatchMode::Leader
 }
 
 impl ReportForwarder {
@@ -113,7 +113,7 @@
     let shared = &gateway.shared;
     let leader = shared.leader()?;
     let addresses = shared.control_addresses();
-    if shared.dispatchers.mode(&shared.tables()) == Dispatch::Leader {
+    if shared.dispatchers.mode(&shared.tables()) == DispatchMode::Leader {
         return addresses.members.iter().find(|member| member.peer == leader).map(|member| member.operators);
     }
     let in_zone = addresses
--- a/crates/daemon/tests/dispatchers.rs
+++ b/crates/daemon/tests/dispatchers.rs
@@ -2,7 +2,7 @@
 
 use dockwood_api::gateway::DispatchScope;
 use dockwood_api::peer::DaemonRecord;
-use dockwood_daemon::gateway::{Dispatch, Dispatchers};
+use dockwood_daemon::gateway::{DispatchMode, Dispatchers};
 use dockwood_state::{Command, CommandBody, Liveness, State, Tables};
 use std::net::SocketAddr;
 
@@ -66,8 +66,8 @@
 #[test]
 fn the_leader_dispatches_in_a_small_fleet_alone() {
     let dispatchers = Dispatchers::new(64);
-    assert_eq!(dispatchers.mode(&fleet(64).tables), Dispatch::Leader);
-    assert_eq!(dispatchers.mode(&fleet(65).tables), Dispatch::Scopes);
+    assert_eq!(dispatchers.mode(&fleet(64).tables), DispatchMode::Leader);
+    assert_eq!(dispatchers.mode(&fleet(65).tables), DispatchMode::Scopes);
 }
 
 #[test]
