--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -96,10 +96,10 @@
         let mut fleet = lock(&self.fleet);
         let FleetSummary { summary, turn_givers, .. } = fleet.get(tables, FleetSummary::of);
         match turn_givers.get(server) {
-            Some(limiters) => limiters.clone(),
+            Some(candidates) => candidates.clone(),
             None => {
-                let limiters: Arc<[SocketAddr]> = limiter_candidates(tables, summary, server, zone).into();
-                turn_givers.entry(server.to_string()).or_insert(limiters).clone()
+                let candidates: Arc<[SocketAddr]> = limiter_candidates(tables, summary, server, zone).into();
+                turn_givers.entry(server.to_string()).or_insert(candidates).clone()
             }
         }
     }
