--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -37,7 +37,7 @@
     /// Candidates for the dispatcher of each scope that was looked up, in order of preference.
     ranked_dispatchers: HashMap<DispatchScope, Arc<[SocketAddr]>>,
     /// Candidates for the limiter of each server that was looked up, by server id.
-    turn_givers: HashMap<String, Arc<[SocketAddr]>>,
+    limiters: HashMap<String, Arc<[SocketAddr]>>,
 }
 
 impl FleetSummary {
@@ -45,7 +45,7 @@
         FleetSummary {
             summary: EntrySummary::of(tables),
             ranked_dispatchers: HashMap::new(),
-            turn_givers: HashMap::new(),
+            limiters: HashMap::new(),
         }
     }
 }
@@ -92,14 +92,14 @@
 
     /// Returns the candidates for the limiter of a server, in order of preference: the first that responds is used.
     /// `zone` is the server's zone, if known.
-    pub fn turn_givers(&self, tables: &Tables, server: &str, zone: Option<&str>) -> Arc<[SocketAddr]> {
+    pub fn limiters(&self, tables: &Tables, server: &str, zone: Option<&str>) -> Arc<[SocketAddr]> {
         let mut fleet = lock(&self.fleet);
-        let FleetSummary { summary, turn_givers, .. } = fleet.get(tables, FleetSummary::of);
-        match turn_givers.get(server) {
+        let FleetSummary { summary, limiters, .. } = fleet.get(tables, FleetSummary::of);
+        match limiters.get(server) {
             Some(candidates) => candidates.clone(),
             None => {
                 let candidates: Arc<[SocketAddr]> = limiter_candidates(tables, summary, server, zone).into();
-                turn_givers.entry(server.to_string()).or_insert(candidates).clone()
+                limiters.entry(server.to_string()).or_insert(candidates).clone()
             }
         }
     }
--- a/crates/daemon/src/pushback/rate_limit.rs
+++ b/crates/daemon/src/pushback/rate_limit.rs
@@ -57,7 +57,7 @@
     rank: u32,
 ) -> GrantDecision {
     let (server, tables) = (&target.start, shared.tables());
-    let limiters = shared.dispatchers.turn_givers(&tables, &server.id, target.zone.as_deref());
+    let limiters = shared.dispatchers.limiters(&tables, &server.id, target.zone.as_deref());
     for (position, limiter) in
         limiters.iter().enumerate().filter(|(_, limiter)| shared.dispatchers.may_ask(**limiter))
     {
