--- a/crates/daemon/src/gateway/assignment.rs
+++ b/crates/daemon/src/gateway/assignment.rs
@@ -167,7 +167,7 @@
 
 async fn ask_leader(gateway: &Gateway, query: PlaceQuery<'_>) -> Option<DispatcherReply> {
     let shared = &gateway.shared;
-    let leader = shared.leader().filter(|leader| shared.dispatchers.may_ask(*leader))?;
+    let leader = shared.leader().filter(|leader| shared.dispatchers.is_responsive(*leader))?;
     ask(gateway, leader, place_request(gateway, query)).await
 }
 
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -79,7 +79,7 @@
     /// unresponsive.
     pub fn of_scope(&self, tables: &Tables, scope: &DispatchScope) -> Option<SocketAddr> {
         let ranked_dispatchers = self.ranked_dispatchers(tables, scope);
-        ranked_dispatchers.iter().copied().find(|address| self.may_ask(*address))
+        ranked_dispatchers.iter().copied().find(|address| self.is_responsive(*address))
     }
 
     /// Returns whether a dispatcher may assign requests to cold heads: only [`SENDERS_AT_ONCE`] dispatchers have a
@@ -105,7 +105,7 @@
     }
 
     /// Returns whether a daemon has not failed to respond recently.
-    pub fn may_ask(&self, address: SocketAddr) -> bool {
+    pub fn is_responsive(&self, address: SocketAddr) -> bool {
         lock(&self.unresponsive).get(&address).is_none_or(|until| monotonic_ms() >= *until)
     }
 
--- a/crates/daemon/src/pushback/rate_limit.rs
+++ b/crates/daemon/src/pushback/rate_limit.rs
@@ -59,7 +59,7 @@
     let (server, tables) = (&target.start, shared.tables());
     let limiters = shared.dispatchers.limiters(&tables, &server.id, target.zone.as_deref());
     for (position, limiter) in
-        limiters.iter().enumerate().filter(|(_, limiter)| shared.dispatchers.may_ask(**limiter))
+        limiters.iter().enumerate().filter(|(_, limiter)| shared.dispatchers.is_responsive(**limiter))
     {
         // The limit may have ended in the meantime.
         let known_limit = lock(&shared.pushback.limits).tell(monotonic_ms(), server);
