--- a/crates/daemon/src/gateway/assignment.rs
+++ b/crates/daemon/src/gateway/assignment.rs
@@ -241,7 +241,7 @@
     let was_suspended = monotonic_ms() >= started + SUSPENDED_MS;
     let response = if was_suspended { ask_once(gateway, dispatcher, request).await } else { first };
     if response.is_none() {
-        gateway.shared.dispatchers.rest(dispatcher);
+        gateway.shared.dispatchers.mark_unresponsive(dispatcher);
     }
     response
 }
--- a/crates/daemon/src/gateway/dispatchers.rs
+++ b/crates/daemon/src/gateway/dispatchers.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records that a daemon has not responded in time.
-    pub fn rest(&self, address: SocketAddr) {
+    pub fn mark_unresponsive(&self, address: SocketAddr) {
         lock(&self.unresponsive).insert(address, monotonic_ms() + UNRESPONSIVE_MS);
     }
 
--- a/crates/daemon/src/gateway/load_exchange.rs
+++ b/crates/daemon/src/gateway/load_exchange.rs
@@ -113,7 +113,7 @@
         Ok(Some(digest)) => gateway.loads.apply_scope_digest(&scope, &digest),
         _ => {
             shared.metrics.peer_failures.inc();
-            shared.dispatchers.rest(dispatcher);
+            shared.dispatchers.mark_unresponsive(dispatcher);
         }
     }
 }
--- a/crates/daemon/src/pushback/rate_limit.rs
+++ b/crates/daemon/src/pushback/rate_limit.rs
@@ -69,7 +69,7 @@
             reply.limit.iter().for_each(|limit| shared.pushback.merge(shared, limit, false));
             return reply.wait_ms.map_or(GrantDecision::Granted, GrantDecision::Wait);
         }
-        shared.dispatchers.rest(*limiter);
+        shared.dispatchers.mark_unresponsive(*limiter);
     }
     let senders = shared.dispatchers.entries(&tables);
     let share = TurnShare::Alone { senders };
--- a/crates/daemon/tests/dispatchers.rs
+++ b/crates/daemon/tests/dispatchers.rs
@@ -99,7 +99,7 @@
     let dispatchers = Dispatchers::new(64);
     let scope = scope(1, "small");
     let first = dispatchers.of_scope(&tables, &scope).expect("a dispatcher");
-    dispatchers.rest(first);
+    dispatchers.mark_unresponsive(first);
     let second = dispatchers.of_scope(&tables, &scope).expect("another dispatcher");
     assert_ne!(first, second);
 }
@@ -113,7 +113,7 @@
     for may_assign_cold in [true, true, false] {
         let next = dispatchers.of_scope(&tables, &scope).expect("a dispatcher");
         assert_eq!(dispatchers.may_assign_cold(&tables, &scope, next), may_assign_cold);
-        dispatchers.rest(next);
+        dispatchers.mark_unresponsive(next);
     }
 }
 
