--- a/crates/daemon/src/gateway/cold.rs
+++ b/crates/daemon/src/gateway/cold.rs
@@ -60,18 +60,18 @@
     }
 
     /// Returns whether this entry may send a request to a plain server now.
-    pub fn may_give(&self, now: Millis, server: &str, rate: SendRate) -> bool {
+    pub fn has_capacity(&self, now: Millis, server: &str, rate: SendRate) -> bool {
         lock(&self.pacing).may_send(now, &server.to_string(), rate)
     }
 
     /// Records a send to a plain server if this entry may send it a request now; returns false otherwise.
     pub fn try_give(&self, now: Millis, server: &str, rate: SendRate) -> bool {
         let (mut pacing, server) = (lock(&self.pacing), server.to_string());
-        let may_give = pacing.may_send(now, &server, rate);
-        if may_give {
+        let has_capacity = pacing.may_send(now, &server, rate);
+        if has_capacity {
             pacing.record_send(now, &server, rate);
         }
-        may_give
+        has_capacity
     }
 
     /// Returns whether a request may be written to a server now, given the validity of its selection, and counts the
--- a/crates/daemon/src/gateway/server_selection.rs
+++ b/crates/daemon/src/gateway/server_selection.rs
@@ -64,7 +64,7 @@
     let with_rate =
         |row: &'a Arc<InstanceRow>| (row, gateway.cold.cold_rate(tables, cold_start, &row.id, entry));
     let sendable =
-        cold.into_iter().map(with_rate).filter(|(row, rate)| gateway.cold.may_give(now, &row.id, *rate));
+        cold.into_iter().map(with_rate).filter(|(row, rate)| gateway.cold.has_capacity(now, &row.id, *rate));
     sendable.map(|(row, rate)| (row, Some(rate))).collect()
 }
 
