--- a/crates/daemon/src/gateway/cold.rs
+++ b/crates/daemon/src/gateway/cold.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records a send to a plain server if this entry may send it a request now; returns false otherwise.
-    pub fn try_give(&self, now: Millis, server: &str, rate: SendRate) -> bool {
+    pub fn try_reserve(&self, now: Millis, server: &str, rate: SendRate) -> bool {
         let (mut pacing, server) = (lock(&self.pacing), server.to_string());
         let has_capacity = pacing.may_send(now, &server, rate);
         if has_capacity {
--- a/crates/daemon/src/gateway/server_selection.rs
+++ b/crates/daemon/src/gateway/server_selection.rs
@@ -151,7 +151,7 @@
     if let Some(rate) = rate {
         let now = monotonic_ms();
         // Another request may have used this share in the meantime.
-        if !gateway.cold.try_give(now, &id, *rate) && row.is_cold {
+        if !gateway.cold.try_reserve(now, &id, *rate) && row.is_cold {
             return Err(ResultCode::Overloaded.into());
         }
         selected.valid_until = Some(now + grant_valid_ms(row.is_cold));
--- a/crates/daemon/tests/cold_servers.rs
+++ b/crates/daemon/tests/cold_servers.rs
@@ -41,7 +41,7 @@
     };
     cold.observe(1_000, &row);
     assert!(cold.has_capacity(1_000, "a", rate) && cold.has_capacity(1_000, "a", rate));
-    assert!(cold.try_give(1_000, "a", rate));
-    assert!(!cold.try_give(1_000, "a", rate));
-    assert!(cold.try_give(1_300, "a", rate), "the next request is due");
+    assert!(cold.try_reserve(1_000, "a", rate));
+    assert!(!cold.try_reserve(1_000, "a", rate));
+    assert!(cold.try_reserve(1_300, "a", rate), "the next request is due");
 }
