--- a/crates/daemon/src/pushback/rate_limit.rs
+++ b/crates/daemon/src/pushback/rate_limit.rs
@@ -57,9 +57,9 @@
     rank: u32,
 ) -> GrantDecision {
     let (server, tables) = (&target.start, shared.tables());
-    let limiters = shared.dispatchers.turn_givers(&tables, &server.id, target.zone.as_deref());
+    let limiters = shared.dispatchers.limiters(&tables, &server.id, target.zone.as_deref());
     for (position, limiter) in
-        limiters.iter().enumerate().filter(|(_, limiter)| shared.dispatchers.may_ask(**limiter))
+        limiters.iter().enumerate().filter(|(_, limiter)| shared.dispatchers.is_responsive(**limiter))
     {
         // The limit may have ended in the meantime.
         let known_limit = lock(&shared.pushback.limits).tell(monotonic_ms(), server);
@@ -69,7 +69,7 @@
             reply.limit.iter().for_each(|limit| shared.pushback.merge(shared, limit, false));
             return reply.wait_ms.map_or(GrantDecision::Granted, GrantDecision::Wait);
         }
-        shared.dispatchers.rest(*limiter);
+        shared.dispatchers.mark_unresponsive(*limiter);
     }
     let senders = shared.dispatchers.entries(&tables);
     let share = TurnShare::Alone { senders };
--- a/crates/daemon/tests/dispatchers.rs
+++ b/crates/daemon/tests/dispatchers.rs
@@ -2,7 +2,7 @@
 
 use dockwood_api::gateway::DispatchScope;
 use dockwood_api::peer::DaemonRecord;
-use dockwood_daemon::gateway::{Dispatch, Dispatchers};
+use dockwood_daemon::gateway::{DispatchMode, Dispatchers};
 use dockwood_state::{Command, CommandBody, Liveness, State, Tables};
 use std::net::SocketAddr;
 
@@ -66,8 +66,8 @@
 #[test]
 fn the_leader_dispatches_in_a_small_fleet_alone() {
     let dispatchers = Dispatchers::new(64);
-    assert_eq!(dispatchers.mode(&fleet(64).tables), Dispatch::Leader);
-    assert_eq!(dispatchers.mode(&fleet(65).tables), Dispatch::Scopes);
+    assert_eq!(dispatchers.mode(&fleet(64).tables), DispatchMode::Leader);
+    assert_eq!(dispatchers.mode(&fleet(65).tables), DispatchMode::Scopes);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     let dispatchers = Dispatchers::new(64);
     let scope = scope(1, "small");
     let first = dispatchers.of_scope(&tables, &scope).expect("a dispatcher");
-    dispatchers.rest(first);
+    dispatchers.mark_unresponsive(first);
     let second = dispatchers.of_scope(&tables, &scope).expect("another dispatcher");
     assert_ne!(first, second);
 }
@@ -113,7 +113,7 @@
     for may_assign_cold in [true, true, false] {
         let next = dispatchers.of_scope(&tables, &scope).expect("a dispatcher");
         assert_eq!(dispatchers.may_assign_cold(&tables, &scope, next), may_assign_cold);
-        dispatchers.rest(next);
+        dispatchers.mark_unresponsive(next);
     }
 }
 
