--- a/crates/daemon/tests/one_entry/entry.rs
+++ b/crates/daemon/tests/one_entry/entry.rs
@@ -1,4 +1,4 @@
-//! An entry within the test's process, and servers in zones.
+//! Test fixtures: an entry within the test process, and servers in zones.
 
 use dockwood_api::gateway::{GatewayConfiguration, InstanceState};
 use dockwood_daemon::clock::monotonic_ms;
@@ -26,23 +26,25 @@
     "control": { "seeds": ["127.0.0.1:7103"], "seedPeerPort": 7101, "founding": false, "member": false },
     "gateway": { "frontend": "127.0.0.1:7104", "operators": "127.0.0.1:7105", "zones": { "z": "r", "y": "r" } }
 }"#;
-/// Generous: what is judged is judged by answers, not by time.
-pub const LIMIT: Duration = Duration::from_secs(20);
-/// Half of this is how long a stream waits for a place, far longer than a refusal at once may take.
+/// Generous time limit: the tests check responses, not time.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Target latency of the routes. A stream waits for a free slot for half of it, far longer than an immediate refusal
+/// may take.
 pub const TARGET_MS: u64 = 10_000;
 
-/// Tasks that run between two looks at sockets: so many that a server task that is always ready sees a connection
-/// before the task that has made it does.
-const TASKS_BETWEEN_LOOKS: u32 = 4_001;
+/// Number of task polls between two polls for I/O events: so many that a server task that is always ready accepts a
+/// connection before the task that connects is woken.
+const TASKS_BETWEEN_IO_POLLS: u32 = 4_001;
 
-/// A runtime on which a server's task that polls its listener all the time sees a connection before the entry does.
-pub fn runtime_that_accepts_first() -> tokio::runtime::Runtime {
+/// Creates a runtime on which a server task that polls its listener continuously accepts a connection before the
+/// entry's connecting task is woken.
+pub fn runtime_with_early_accept() -> tokio::runtime::Runtime {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    let built = builder.enable_all().event_interval(TASKS_BETWEEN_LOOKS).build();
+    let built = builder.enable_all().event_interval(TASKS_BETWEEN_IO_POLLS).build();
     built.unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// An entry whose tables are the test's.
+/// An entry whose tables are published by the test.
 pub struct Entry {
     pub shared: Arc<Shared>,
     state: Mutex<State>,
@@ -64,7 +66,7 @@
         "chunk": 500, "stride": 5, "loads_per_second": 50.0, "loads_at_once": 50, "staged_models": 1,
         "models": [{ "name": "m", "size": 1, "share": 1.0, "pace": 1.0, "load_ms": 100, "warm_ms": 50 }],
     });
-    let whole = json!({
+    let value = json!({
         "version": 1,
         "routes": [route("stream", "Stream", "writer"), route("once", "AtMostOnce", "board")],
         "services": [
@@ -75,7 +77,7 @@
                     "idle_timeout_ms": 15000 },
         "tenants": [], "document": [],
     });
-    serde_json::from_value(whole).unwrap_or_else(|error| panic!("{error}"))
+    serde_json::from_value(value).unwrap_or_else(|error| panic!("{error}"))
 }
 
 impl Entry {
@@ -90,10 +92,10 @@
             listener.set_nonblocking(true)?;
             Ok::<_, std::io::Error>((listener.local_addr()?, listener))
         };
-        let ((frontend, callers), (operators, calls)) = (listener()?, listener()?);
+        let ((frontend, frontend_listener), (operators, operator_listener)) = (listener()?, listener()?);
         let listeners = GatewayListeners {
-            frontend: Some(callers),
-            operators: Some(calls),
+            frontend: Some(frontend_listener),
+            operators: Some(operator_listener),
             ..GatewayListeners::default()
         };
         Gateway::start(shared.clone(), Arc::new(OwnDialect), listeners)?;
@@ -102,20 +104,20 @@
         Ok(entry)
     }
 
-    /// Keeps the lease from now on, as the control thread does.
-    pub fn keep_lease(&self) {
-        const EVERY: Duration = Duration::from_millis(50);
+    /// Renews the lease from now on, like the control thread.
+    pub fn renew_lease_continuously(&self) {
+        const RENEWAL_INTERVAL: Duration = Duration::from_millis(50);
         let shared = self.shared.clone();
         tokio::spawn(async move {
             loop {
                 shared.wakefulness.observe(monotonic_ms());
                 shared.extend_lease(monotonic_ms());
-                tokio::time::sleep(EVERY).await;
+                tokio::time::sleep(RENEWAL_INTERVAL).await;
             }
         });
     }
 
-    /// Applies a change and publishes the tables, as the control thread does.
+    /// Applies a command and publishes the tables, like the control thread.
     fn apply(&self, command: GatewayCommand) {
         let mut state = self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         state.apply(&Command { at_ms: 1, body: CommandBody::Gateway(command) });
@@ -129,11 +131,11 @@
     }
 
     fn register(&self, id: &str, service: &str, zone: &str, address: SocketAddr) {
-        self.register_start(id, None, service, zone, address);
+        self.register_with_start(id, None, service, zone, address);
     }
 
-    /// A server registers itself, with the time of its start.
-    pub fn register_start(
+    /// Registers a server with its start time.
+    pub fn register_with_start(
         &self,
         id: &str,
         started_ms: Option<u64>,
@@ -154,7 +156,7 @@
         }));
     }
 
-    /// A server in a zone: one of the plain service, or an open group of one model server.
+    /// Registers a server in a zone. A model server becomes the only member of an open group.
     pub fn add(&self, service: &str, zone: &str, address: SocketAddr) {
         let id = format!("{service}-{zone}");
         self.register(&id, service, zone, address);
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A model server is the only member of a group that opens.
+    /// Opens a group whose only member is the given model server.
     pub fn open_group(&self, id: &str) {
         self.apply(GatewayCommand::Form {
             service: "writer".to_string(),
@@ -178,26 +180,26 @@
         }
     }
 
-    /// The newest group ends.
+    /// Ends the newest group.
     pub fn end_group(&self) {
         let epoch = self.shared.tables().gateway.last_epoch;
         self.apply(GatewayCommand::End { epoch, reason: String::new() });
     }
 
-    pub fn kept(&self, result: &str) -> u64 {
+    pub fn kept_from_evacuated_zones(&self, result: &str) -> u64 {
         self.shared.metrics.kept_from_evacuated_zones.with_label_values(&[result]).get()
     }
 
-    /// The whole answer to a request, once the entry has its tables.
-    pub async fn ask(&self, path: &str) -> Result<String> {
+    /// Sends a request to the entry and returns the complete response.
+    pub async fn request(&self, path: &str) -> Result<String> {
         let headers = "dockwood-model: m\r\ndockwood-attempt: a-1\r\n";
-        let asked = call(self.frontend, "POST", path, headers);
-        tokio::time::timeout(LIMIT, asked).await.unwrap_or_else(|_| panic!("{path} is not answered"))
+        let response = send_request(self.frontend, "POST", path, headers);
+        tokio::time::timeout(TEST_TIMEOUT, response).await.unwrap_or_else(|_| panic!("{path} timed out"))
     }
 }
 
-/// Makes a call and reads its whole answer.
-pub async fn call(address: SocketAddr, method: &str, path: &str, headers: &str) -> Result<String> {
+/// Sends a request and reads the complete response.
+pub async fn send_request(address: SocketAddr, method: &str, path: &str, headers: &str) -> Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\ncontent-length: 0\r\n{headers}\r\n"
@@ -208,11 +210,11 @@
     Ok(answer)
 }
 
-/// Answers the request on one connection with two events that name the zone, the second one once the answer may end.
+/// Answers the request on one connection with two events that contain the zone, the second one when `may_end` is set.
 pub async fn serve(
     mut stream: TcpStream,
     zone: String,
-    begun: Arc<AtomicU32>,
+    received: Arc<AtomicU32>,
     mut may_end: watch::Receiver<bool>,
 ) {
     let mut head = Vec::new();
@@ -222,7 +224,7 @@
             Err(_) => return,
         }
     }
-    begun.fetch_add(1, Ordering::SeqCst);
+    received.fetch_add(1, Ordering::SeqCst);
     let event = |id: u8| format!("id: {id}\ndata: {zone}\n\n");
     let (first, second) = (event(1), event(2));
     let length = first.len() + second.len();
@@ -232,15 +234,15 @@
     let _ = stream.write_all(format!("{head}{first}").as_bytes()).await;
     let _ = may_end.wait_for(|may_end| *may_end).await;
     let _ = stream.write_all(second.as_bytes()).await;
-    // The connection stays open until the entry ends it.
+    // The connection stays open until the entry closes it.
     let _ = stream.read_u8().await;
 }
 
-/// A server in a zone, which counts the requests that reach it.
+/// A server in a zone that counts the requests it receives.
 pub struct Server {
     pub address: SocketAddr,
-    begun: Arc<AtomicU32>,
-    /// Whether answers may end.
+    received: Arc<AtomicU32>,
+    /// Whether responses may be completed.
     pub may_end: watch::Sender<bool>,
 }
 
@@ -248,39 +250,39 @@
     pub async fn start(zone: &str) -> Result<Server> {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (begun, may_end) = (Arc::new(AtomicU32::new(0)), watch::channel(true).0);
-        let server = Server { address, begun: begun.clone(), may_end };
+        let (received, may_end) = (Arc::new(AtomicU32::new(0)), watch::channel(true).0);
+        let server = Server { address, received: received.clone(), may_end };
         let (zone, ends) = (zone.to_string(), server.may_end.subscribe());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, zone.clone(), begun.clone(), ends.clone()));
+                tokio::spawn(serve(stream, zone.clone(), received.clone(), ends.clone()));
             }
         });
         Ok(server)
     }
 
-    pub fn begun(&self) -> u32 {
-        self.begun.load(Ordering::SeqCst)
+    pub fn received(&self) -> u32 {
+        self.received.load(Ordering::SeqCst)
     }
 }
 
-pub async fn eventually(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < LIMIT, "{what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Asks until a request is served from a zone: the entry follows what is published a moment later.
-pub async fn served_from(entry: &Entry, path: &str, zone: &str) -> Result<()> {
-    let begun = Instant::now();
+/// Sends requests until one is served from a zone, because the entry applies published tables with a delay.
+pub async fn wait_until_served_from(entry: &Entry, path: &str, zone: &str) -> Result<()> {
+    let started = Instant::now();
     loop {
-        let answer = entry.ask(path).await?;
+        let answer = entry.request(path).await?;
         if answer.contains(&format!("data: {zone}\n\n")) {
             return Ok(());
         }
-        assert!(begun.elapsed() < LIMIT, "{path} is never served from {zone}: {answer}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{path} is never served from {zone}: {answer}");
         tokio::time::sleep(Duration::from_millis(20)).await;
         entry.shared.extend_lease(monotonic_ms());
     }
--- a/crates/daemon/tests/one_entry/evacuation.rs
+++ b/crates/daemon/tests/one_entry/evacuation.rs
@@ -1,8 +1,9 @@
-//! What an entry does with requests when a zone is evacuated: the gateway within this process, with tables that the
-//! test publishes itself, so that each step happens at a known moment.
+//! Requests at an entry while a zone is evacuated. The gateway runs within the test process, and the tests publish the
+//! tables themselves, so that each step happens at a known time.
 
 use crate::entry::{
-    Entry, Server, TARGET_MS, call, eventually, runtime_that_accepts_first, serve, served_from,
+    Entry, Server, TARGET_MS, runtime_with_early_accept, send_request, serve, wait_until,
+    wait_until_served_from,
 };
 use std::io::Result;
 use std::net::TcpListener;
@@ -22,7 +23,7 @@
     plain = { "once", "board" },
 )]
 #[test_macro(tokio::test)]
-async fn where_all_zones_are_evacuated_requests_are_refused_at_once_and_served_after_it(
+async fn while_all_zones_are_evacuated_requests_are_refused_and_afterwards_served(
     route: &str,
     service: &str,
 ) -> Result<()> {
@@ -31,28 +32,36 @@
     entry.add(service, "z", servers[0].address);
     entry.add(service, "y", servers[1].address);
     let path = format!("/{route}/1");
-    served_from(&entry, &path, "z").await?;
+    wait_until_served_from(&entry, &path, "z").await?;
     entry.set_evacuation("z", true);
-    served_from(&entry, &path, "y").await?;
-    let before = servers[0].begun();
+    wait_until_served_from(&entry, &path, "y").await?;
+    let before = servers[0].received();
     for _ in 0..6 {
-        served_from(&entry, &path, "y").await?;
+        wait_until_served_from(&entry, &path, "y").await?;
     }
-    assert_eq!(servers[0].begun(), before, "nothing more is sent to it");
+    assert_eq!(servers[0].received(), before, "no further requests are sent to the evacuated zone");
     entry.set_evacuation("y", true);
-    let begun = Instant::now();
-    let refused = entry.ask(&path).await?;
+    let started = Instant::now();
+    let refused = entry.request(&path).await?;
     assert!(is_refused_for_evacuation(&refused), "{refused}");
-    assert!(begun.elapsed() < Duration::from_millis(TARGET_MS / 4), "it waits for nothing");
-    assert!(entry.kept("refused") >= 1);
+    assert!(
+        started.elapsed() < Duration::from_millis(TARGET_MS / 4),
+        "the request is refused without waiting"
+    );
+    assert!(entry.kept_from_evacuated_zones("refused") >= 1);
     if service == "board" {
-        assert_eq!(entry.kept("stopped"), 0, "no connection is made in vain");
+        assert_eq!(
+            entry.kept_from_evacuated_zones("stopped"),
+            0,
+            "no connection is opened and then abandoned"
+        );
     }
     entry.set_evacuation("z", false);
-    served_from(&entry, &path, "z").await
+    wait_until_served_from(&entry, &path, "z").await
 }
 
-/// The server's task sees the connection before the entry does, and the zone is evacuated at that moment.
+/// The server accepts the connection before the entry's connecting task is woken, and the zone is evacuated at that
+/// time.
 async fn evacuate_while_connecting(route: &str, service: &str) -> Result<()> {
     let entry = Entry::start()?;
     let zones = ["z", "y"];
@@ -63,13 +72,13 @@
         entry.add(service, zone, listener.local_addr()?);
         listeners.push(listener);
     }
-    let followed = entry.shared.metrics.open_groups.with_label_values(&["writer"]);
+    let open_groups = entry.shared.metrics.open_groups.with_label_values(&["writer"]);
     let expected = if service == "writer" { 2 } else { 0 };
-    eventually("the entry follows its tables", || followed.get() == expected).await;
-    let begun = [Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0))];
+    wait_until("the entry applies its tables", || open_groups.get() == expected).await;
+    let received = [Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0))];
     let evacuated = Arc::new(Mutex::new(None));
-    let watching = {
-        let (entry, begun, evacuated) = (entry.clone(), begun.clone(), evacuated.clone());
+    let server_task = {
+        let (entry, received, evacuated) = (entry.clone(), received.clone(), evacuated.clone());
         let may_end = watch::channel(true).1;
         std::future::poll_fn(move |context| {
             for (position, listener) in listeners.iter().enumerate() {
@@ -81,23 +90,23 @@
                 }
                 let _ = stream.set_nonblocking(true);
                 if let Ok(stream) = TcpStream::from_std(stream) {
-                    let (zone, begun) = (zones[position].to_string(), begun[position].clone());
-                    tokio::spawn(serve(stream, zone, begun, may_end.clone()));
+                    let (zone, received) = (zones[position].to_string(), received[position].clone());
+                    tokio::spawn(serve(stream, zone, received, may_end.clone()));
                 }
             }
             context.waker().wake_by_ref();
             std::task::Poll::<()>::Pending
         })
     };
-    let watching = tokio::spawn(watching);
-    let answer = entry.ask(&format!("/{route}/1")).await?;
-    watching.abort();
+    let server_task = tokio::spawn(server_task);
+    let answer = entry.request(&format!("/{route}/1")).await?;
+    server_task.abort();
     let first = evacuated.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).unwrap_or_default();
     let other = 1 - first;
     assert!(answer.contains(&format!("data: {}\n\n", zones[other])), "{answer}");
-    let begun = begun.each_ref().map(|begun| begun.load(Ordering::SeqCst));
-    assert_eq!((begun[first], begun[other]), (0, 1), "the request goes to the other zone alone");
-    assert_eq!(entry.kept("stopped"), 1);
+    let received = received.each_ref().map(|received| received.load(Ordering::SeqCst));
+    assert_eq!((received[first], received[other]), (0, 1), "the request is sent only to the other zone");
+    assert_eq!(entry.kept_from_evacuated_zones("stopped"), 1);
     Ok(())
 }
 
@@ -105,72 +114,79 @@
     stream = { "stream", "writer" },
     plain = { "once", "board" },
 )]
-fn a_request_whose_connection_is_being_made_when_its_zone_is_evacuated_goes_elsewhere(
-    route: &str,
-    service: &str,
-) {
-    let runtime = runtime_that_accepts_first();
+fn a_request_that_connects_while_its_zone_is_evacuated_is_sent_to_another_zone(route: &str, service: &str) {
+    let runtime = runtime_with_early_accept();
     runtime.block_on(evacuate_while_connecting(route, service)).unwrap_or_else(|error| panic!("{error}"));
 }
 
 #[tokio::test]
-async fn streams_in_an_evacuated_zone_finish_and_requests_that_wait_for_it_go_elsewhere() -> Result<()> {
+async fn streams_in_an_evacuated_zone_finish_and_waiting_requests_are_refused() -> Result<()> {
     let entry = Entry::start()?;
-    let (near, far) = (Server::start("z").await?, Server::start("y").await?);
-    entry.add("writer", "z", near.address);
-    served_from(&entry, "/stream/1", "z").await?;
-    near.may_end.send_replace(false);
-    let before = near.begun();
-    let ask = |entry: &Arc<Entry>| {
+    let (evacuated_server, other_server) = (Server::start("z").await?, Server::start("y").await?);
+    entry.add("writer", "z", evacuated_server.address);
+    wait_until_served_from(&entry, "/stream/1", "z").await?;
+    evacuated_server.may_end.send_replace(false);
+    let before = evacuated_server.received();
+    let spawn_request = |entry: &Arc<Entry>| {
         let entry = entry.clone();
-        tokio::spawn(async move { entry.ask("/stream/1").await })
+        tokio::spawn(async move { entry.request("/stream/1").await })
     };
-    let running = ask(&entry);
-    eventually("the stream has begun", || near.begun() > before).await;
-    // The group's only place is taken.
-    let waiting = ask(&entry);
+    let running = spawn_request(&entry);
+    wait_until("the stream has started", || evacuated_server.received() > before).await;
+    // The group's only slot is in use.
+    let waiting = spawn_request(&entry);
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert!(!waiting.is_finished());
-    let begun = Instant::now();
+    let started = Instant::now();
     entry.set_evacuation("z", true);
     let refused = waiting.await??;
     assert!(is_refused_for_evacuation(&refused), "{refused}");
-    assert!(begun.elapsed() < Duration::from_millis(TARGET_MS / 4), "it is not left to wait");
-    entry.add("writer", "y", far.address);
-    served_from(&entry, "/stream/1", "y").await?;
-    assert!(!running.is_finished(), "what runs in the zone goes on");
-    near.may_end.send_replace(true);
+    assert!(
+        started.elapsed() < Duration::from_millis(TARGET_MS / 4),
+        "the waiting request is refused immediately"
+    );
+    entry.add("writer", "y", other_server.address);
+    wait_until_served_from(&entry, "/stream/1", "y").await?;
+    assert!(!running.is_finished(), "the running stream in the zone continues");
+    evacuated_server.may_end.send_replace(true);
     let whole = running.await??;
     assert_eq!(whole.matches("data: z\n\n").count(), 2, "{whole}");
-    assert_eq!(near.begun(), before + 1, "nothing more was sent to it");
+    assert_eq!(
+        evacuated_server.received(),
+        before + 1,
+        "no further requests were sent to the evacuated zone"
+    );
     entry.set_evacuation("z", false);
-    served_from(&entry, "/stream/1", "z").await
+    wait_until_served_from(&entry, "/stream/1", "z").await
 }
 
-/// A request that waits for a place in another zone gets one in the zone that is given back.
+/// A request that waits for a slot in another zone gets one in the zone whose evacuation ends.
 #[tokio::test]
-async fn the_end_of_an_evacuation_wakes_requests_that_wait() -> Result<()> {
+async fn the_end_of_an_evacuation_wakes_waiting_requests() -> Result<()> {
     let entry = Entry::start()?;
-    let (near, far) = (Server::start("z").await?, Server::start("y").await?);
-    entry.add("writer", "z", near.address);
-    entry.add("writer", "y", far.address);
+    let (evacuated_server, other_server) = (Server::start("z").await?, Server::start("y").await?);
+    entry.add("writer", "z", evacuated_server.address);
+    entry.add("writer", "y", other_server.address);
     entry.set_evacuation("z", true);
-    served_from(&entry, "/stream/1", "y").await?;
-    far.may_end.send_replace(false);
-    let before = far.begun();
-    let ask = |entry: &Arc<Entry>| {
+    wait_until_served_from(&entry, "/stream/1", "y").await?;
+    other_server.may_end.send_replace(false);
+    let before = other_server.received();
+    let spawn_request = |entry: &Arc<Entry>| {
         let entry = entry.clone();
-        tokio::spawn(async move { entry.ask("/stream/1").await })
+        tokio::spawn(async move { entry.request("/stream/1").await })
     };
-    let _running = ask(&entry);
-    eventually("the stream has begun", || far.begun() > before).await;
-    let waiting = ask(&entry);
+    let _running = spawn_request(&entry);
+    wait_until("the stream has started", || other_server.received() > before).await;
+    let waiting = spawn_request(&entry);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let begun = Instant::now();
+    let started = Instant::now();
     entry.set_evacuation("z", false);
     let answer = waiting.await??;
     assert!(answer.contains("data: z\n\n"), "{answer}");
-    assert!(begun.elapsed() < Duration::from_millis(TARGET_MS / 4), "it waited for its time to pass");
+    assert!(
+        started.elapsed() < Duration::from_millis(TARGET_MS / 4),
+        "the request must be woken before its timeout"
+    );
     Ok(())
 }
 
@@ -183,25 +199,27 @@
     long = { "POST", "zzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzz", "400", "ZoneMalformed" },
 )]
 #[test_macro(tokio::test)]
-async fn a_call_for_what_is_no_zone_is_refused(
+async fn an_evacuation_of_an_invalid_zone_is_refused(
     method: &str,
     zone: &str,
     status: &str,
     code: &str,
 ) -> Result<()> {
     let entry = Entry::start()?;
-    let answer = call(entry.operators, method, &format!("/v1/gateway/evacuations/{zone}"), "").await?;
+    let answer =
+        send_request(entry.operators, method, &format!("/v1/gateway/evacuations/{zone}"), "").await?;
     assert!(answer.starts_with(&format!("HTTP/1.1 {status}")) && answer.contains(code), "{answer}");
     Ok(())
 }
 
-/// Without a leader nothing is decided; the caller goes on to another daemon after a second.
+/// Without a leader the command can't be committed. The call must fail within a second, so that the caller can try
+/// another daemon.
 #[tokio::test]
-async fn a_call_that_no_leader_takes_fails_within_a_second() -> Result<()> {
+async fn an_evacuation_without_a_leader_fails_within_a_second() -> Result<()> {
     let entry = Entry::start()?;
-    let begun = Instant::now();
-    let answer = call(entry.operators, "POST", "/v1/gateway/evacuations/y", "").await?;
+    let started = Instant::now();
+    let answer = send_request(entry.operators, "POST", "/v1/gateway/evacuations/y", "").await?;
     assert!(answer.starts_with("HTTP/1.1 503") || answer.starts_with("HTTP/1.1 504"), "{answer}");
-    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     Ok(())
 }
--- a/crates/daemon/tests/one_entry/main.rs
+++ b/crates/daemon/tests/one_entry/main.rs
@@ -1,4 +1,5 @@
-//! One entry within this process, with tables that the test publishes itself, so that each step happens at a known moment.
+//! Tests of one entry within the test process. The tests publish the tables themselves, so that each step happens at a
+//! known time.
 
 mod entry;
 mod evacuation;
--- a/crates/daemon/tests/one_entry/scripted_server.rs
+++ b/crates/daemon/tests/one_entry/scripted_server.rs
@@ -1,4 +1,4 @@
-//! A server that gives the answers that a test tells it to, byte for byte.
+//! A server whose responses are scripted by the test, byte for byte.
 
 use std::collections::VecDeque;
 use std::io::Result;
@@ -9,34 +9,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the server does with one request.
+/// The server's reaction to one request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Writes these bytes, with the request's attempt id in place of `ATTEMPT`, and goes on with the connection.
+    /// Writes these bytes, with `ATTEMPT` replaced by the request's attempt id, and keeps the connection open.
     Bytes(String),
-    /// Writes them and closes the connection.
+    /// Writes the bytes likewise, and closes the connection.
     BytesAndClose(String),
 }
 
-/// An answer that serves.
-pub fn serves() -> Reply {
+/// Returns a successful response.
+pub fn success_reply() -> Reply {
     Reply::Bytes(
         "HTTP/1.1 200 OK\r\ndockwood-attempt: ATTEMPT\r\ncontent-length: 6\r\n\r\nserved".to_string(),
     )
 }
 
-/// A rejection with these headers besides, each of which ends a line.
-pub fn rejects(status: &str, headers: &str) -> Reply {
+/// Returns a rejection with additional headers, each with its line break.
+pub fn rejection_reply(status: &str, headers: &str) -> Reply {
     let head = format!("HTTP/1.1 {status}\r\ndockwood-attempt: ATTEMPT\r\n{headers}");
     Reply::Bytes(format!("{head}content-length: 0\r\n\r\n"))
 }
 
-/// A server whose answers are written by the test.
+/// A server with scripted responses.
 pub struct ScriptedServer {
     pub address: SocketAddr,
     script: Mutex<VecDeque<Reply>>,
     arrivals: Mutex<Vec<Instant>>,
-    /// Whether answers may be written.
+    /// Whether responses may be written.
     pub may_answer: watch::Sender<bool>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ScriptedServer {
-    /// A server that gives these answers, one after the other, and serves every request after that.
+    /// Starts a server that sends the scripted responses in order, and successful ones after that.
     pub async fn start(script: impl IntoIterator<Item = Reply>) -> Result<Arc<ScriptedServer>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let server = Arc::new(ScriptedServer {
@@ -63,15 +63,15 @@
         Ok(server)
     }
 
-    /// Requests that have arrived.
-    pub fn arrived(&self) -> usize {
+    /// Returns the number of received requests.
+    pub fn received(&self) -> usize {
         lock(&self.arrivals).len()
     }
 
     async fn serve(self: Arc<Self>, mut stream: TcpStream) {
         while let Some(attempt) = read_request(&mut stream).await {
             lock(&self.arrivals).push(Instant::now());
-            let reply = lock(&self.script).pop_front().unwrap_or_else(serves);
+            let reply = lock(&self.script).pop_front().unwrap_or_else(success_reply);
             let _ = self.may_answer.subscribe().wait_for(|may_answer| *may_answer).await;
             let (Reply::Bytes(bytes) | Reply::BytesAndClose(bytes)) = &reply;
             let written = stream.write_all(bytes.replace("ATTEMPT", &attempt).as_bytes()).await;
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads the head of a request, which has no body; its attempt id, or `None` at the end of the connection.
+/// Reads a request without a body and returns its attempt id; `None` at the end of the connection.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
