--- a/crates/daemon/src/http/auth.rs
+++ b/crates/daemon/src/http/auth.rs
@@ -1,4 +1,5 @@
-//! Who calls: operators by token, callers by tenant key. Neither appears in a log, an event or an answer.
+//! Authentication of operators by token and of callers by tenant key. Neither secret appears in a log, an event or a
+//! response.
 
 use super::App;
 use crate::settings::OperatorRole;
@@ -7,14 +8,14 @@
 use poem::Request;
 use poem::http::header::AUTHORIZATION;
 
-/// The bearer token of a request.
-pub fn bearer(request: &Request) -> Option<&str> {
+/// Returns the bearer token of a request.
+pub fn bearer_token(request: &Request) -> Option<&str> {
     request.header(AUTHORIZATION)?.strip_prefix("Bearer ").map(str::trim)
 }
 
-/// Checks that the operator's token allows `needed`.
-pub fn operator(app: &App, request: &Request, needed: OperatorRole) -> Result<(), ApiError> {
-    let Some(token) = bearer(request) else {
+/// Checks that the operator's token is valid and has at least the role `needed`.
+pub fn authorize_operator(app: &App, request: &Request, needed: OperatorRole) -> Result<(), ApiError> {
+    let Some(token) = bearer_token(request) else {
         return Err(ApiError::new(ResultCode::TokenMissing, "send Authorization: Bearer TOKEN"));
     };
     let digest = presented_digest(token);
@@ -29,9 +30,9 @@
     Ok(())
 }
 
-/// The tenant whose key the request carries.
-pub fn tenant(app: &App, request: &Request) -> Result<String, ApiError> {
-    let key = bearer(request);
+/// Returns the tenant that the request's key belongs to.
+pub fn authenticate_tenant(app: &App, request: &Request) -> Result<String, ApiError> {
+    let key = bearer_token(request);
     let published = app.shared.published();
     let tenant = key.and_then(|key| published.routing.tenant_of(key));
     let message =
--- a/crates/daemon/src/http/caller.rs
+++ b/crates/daemon/src/http/caller.rs
@@ -1,11 +1,11 @@
-//! What callers use: the entry answer, models, chat completions, and what became of a request.
+//! Endpoints for callers: entry addresses, models, chat completions, and the outcomes of requests.
 
-use super::completion::{CompletionWriter, kept_answer};
+use super::completion::{CompletionEncoder, encode_answer};
 use super::refusal;
 use super::{App, auth};
 use crate::clock::monotonic_ms;
-use crate::traffic::chat::{ChatEvent, ChatJob, Failure, Finish, run_chat};
-use crate::traffic::records::{find, record_key};
+use crate::traffic::chat::{ChatEvent, ChatJob, CompletionStats, Failure, run_chat};
+use crate::traffic::records::{find_record, record_key};
 use bytes::Bytes;
 use dockwood_api::caller::{
     ChatRequest, EntryAnswer, HEADER_DEADLINE_MS, HEADER_IDEMPOTENCY_KEY, HEADER_REPEATABLE,
@@ -22,13 +22,14 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc;
 
-/// Events of one answer that may wait for a slow caller.
-const EVENT_QUEUE: usize = 256;
-/// Where chat requests are sent; any host of the daemons' takes them.
+/// Capacity of the queue between a request and its caller, in events.
+const EVENT_QUEUE_CAPACITY: usize = 256;
+/// Path of chat requests in fingerprints. Their host is left empty, because every host name of the daemons accepts
+/// them.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Longest request id.
-const MAX_ID_BYTES: usize = 128;
-/// Longest deadline, in milliseconds.
+/// Maximum length of a request id.
+const MAX_REQUEST_ID_BYTES: usize = 128;
+/// Maximum deadline, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 fn failure(error: &ApiError) -> Failure {
@@ -47,16 +48,17 @@
     zone: Option<String>,
 }
 
-/// `GET /v1/entry`: which addresses to use.
+/// `GET /v1/entry`: the addresses to send requests to.
 #[handler]
 pub fn entry_addresses(Data(app): Data<&App>, request: &Request) -> Response {
-    let result = auth::tenant(app, request).and_then(|tenant| entry_answer(app, request, &tenant));
+    let result =
+        auth::authenticate_tenant(app, request).and_then(|tenant| entry_answer(app, request, &tenant));
     match result {
         Ok(answer) => Response::builder()
             .content_type("application/json")
             .header("cache-control", format!("max-age={}", answer.lifetime_seconds))
             .body(serde_json::to_vec(&answer).unwrap_or_default()),
-        Err(error) => refusal::caller_counted(app, &failure(&error), ""),
+        Err(error) => refusal::counted_caller_error(app, &failure(&error), ""),
     }
 }
 
@@ -76,12 +78,12 @@
     })
 }
 
-/// `GET /v1/models`: what the tenant may ask for.
+/// `GET /v1/models`: the models that the tenant may use.
 #[handler]
 pub fn list_models(Data(app): Data<&App>, request: &Request) -> Response {
-    let tenant = match auth::tenant(app, request) {
+    let tenant = match auth::authenticate_tenant(app, request) {
         Ok(tenant) => tenant,
-        Err(error) => return refusal::caller_counted(app, &failure(&error), ""),
+        Err(error) => return refusal::counted_caller_error(app, &failure(&error), ""),
     };
     let published = app.shared.published();
     let mut names: Vec<&str> = published.routing.models().collect();
@@ -96,57 +98,64 @@
     Response::builder().content_type("application/json").body(serde_json::to_vec(&list).unwrap_or_default())
 }
 
-/// What the headers of a request say of it.
+/// Request options given in headers.
 pub(super) struct RequestHeaders {
     pub id: String,
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     pub repeatable: Option<bool>,
     pub deadline_ms: u64,
 }
 
-/// Reads the headers that chat and services share.
+/// Reads the request options that apply to both chat and plain services.
 pub(super) fn request_headers(app: &App, request: &Request) -> Result<RequestHeaders, ApiError> {
-    let bad = |message: String| ApiError::new(ResultCode::BadHeader, message);
+    let bad_header = |message: String| ApiError::new(ResultCode::BadHeader, message);
     let key = request.header(HEADER_IDEMPOTENCY_KEY);
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
     if let Some(key) = key
-        && (key.is_empty() || key.len() > MAX_ID_BYTES || !key.bytes().all(allowed))
+        && (key.is_empty() || key.len() > MAX_REQUEST_ID_BYTES || !key.bytes().all(allowed))
     {
-        let message = format!("Idempotency-Key: 1 to {MAX_ID_BYTES} letters, digits, '-', '_', '.' and ':'");
-        return Err(bad(message));
+        let message =
+            format!("Idempotency-Key: 1 to {MAX_REQUEST_ID_BYTES} letters, digits, '-', '_', '.' and ':'");
+        return Err(bad_header(message));
     }
     let repeatable = match request.header(HEADER_REPEATABLE) {
         None => None,
         Some("yes") => Some(true),
         Some("no") => Some(false),
-        Some(other) => return Err(bad(format!("Dockwood-Repeatable: '{other}' is neither yes nor no"))),
+        Some(other) => {
+            return Err(bad_header(format!("Dockwood-Repeatable: '{other}' is neither yes nor no")));
+        }
     };
     let deadline_ms = match request.header(HEADER_DEADLINE_MS) {
         None => app.shared.settings.default_deadline.as_millis() as u64,
         Some(text) => {
             let parsed = text.parse::<u64>().ok().filter(|deadline| (1..=MAX_DEADLINE_MS).contains(deadline));
             parsed.ok_or_else(|| {
-                bad(format!("Dockwood-Deadline-Ms: '{text}' is not from 1 to {MAX_DEADLINE_MS}"))
+                bad_header(format!("Dockwood-Deadline-Ms: '{text}' is not from 1 to {MAX_DEADLINE_MS}"))
             })?
         }
     };
     let id = key.map_or_else(|| ulid::Ulid::new().to_string(), str::to_string);
-    Ok(RequestHeaders { id, keyed: key.is_some(), repeatable, deadline_ms })
+    Ok(RequestHeaders { id, has_idempotency_key: key.is_some(), repeatable, deadline_ms })
 }
 
 /// `POST /v1/chat/completions`.
 #[handler]
 pub async fn chat_completions(Data(app): Data<&App>, request: &Request, body: Body) -> Response {
     let session = session_of(request);
-    match chat_job(app, request, body).await {
-        Ok((job, chat)) => run(app, job, &chat, &session).await,
-        Err(error) => refusal::caller_counted(app, &failure(&error), &session),
+    match parse_chat_job(app, request, body).await {
+        Ok((job, chat)) => run_and_respond(app, job, &chat, &session).await,
+        Err(error) => refusal::counted_caller_error(app, &failure(&error), &session),
     }
 }
 
-async fn chat_job(app: &App, request: &Request, body: Body) -> Result<(ChatJob, ChatRequest), ApiError> {
+async fn parse_chat_job(
+    app: &App,
+    request: &Request,
+    body: Body,
+) -> Result<(ChatJob, ChatRequest), ApiError> {
     let arrived = monotonic_ms();
-    let tenant = auth::tenant(app, request)?;
+    let tenant = auth::authenticate_tenant(app, request)?;
     let headers = request_headers(app, request)?;
     let limit = app.shared.settings.max_body_bytes;
     let bytes = read_limited(body, limit).await?;
@@ -170,7 +179,7 @@
     let job = ChatJob {
         fingerprint: Fingerprint::of(&identity),
         id: headers.id,
-        keyed: headers.keyed,
+        has_idempotency_key: headers.has_idempotency_key,
         tier: published.tables.tenant(&tenant).map_or(0, |spec| spec.tier),
         tenant,
         model: chat.model.clone(),
@@ -185,27 +194,27 @@
     Ok((job, chat))
 }
 
-async fn run(app: &App, job: ChatJob, chat: &ChatRequest, session: &str) -> Response {
-    let writer = CompletionWriter::new(&job.id, &chat.model);
+async fn run_and_respond(app: &App, job: ChatJob, chat: &ChatRequest, session: &str) -> Response {
+    let encoder = CompletionEncoder::new(&job.id, &chat.model);
     let id = job.id.clone();
-    let (sender, mut events) = mpsc::channel(EVENT_QUEUE);
+    let (sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let in_flight = app.shared.begin_request();
     let traffic = app.traffic.clone();
     tokio::spawn(async move {
-        run_chat(traffic, job, sender, kept_answer).await;
+        run_chat(traffic, job, sender, encode_answer).await;
         drop(in_flight);
     });
-    // Nothing is sent before the first event, so that a refusal still has its own status.
+    // The response head is sent only after the first event, so that an error response has its own status.
     let first = events.recv().await;
     let mut response = match first {
-        None => refusal::bare(ResultCode::OutcomeUnknown, "the request ended without a result"),
-        Some(ChatEvent::Failed(failure)) => refusal::caller(app, &failure, session),
-        Some(ChatEvent::Kept(kept)) if chat.stream => sse(Body::from(writer.replay(&kept))),
-        Some(ChatEvent::Kept(kept)) => kept_response(kept),
+        None => refusal::plain_error(ResultCode::OutcomeUnknown, "the request ended without a result"),
+        Some(ChatEvent::Failed(failure)) => refusal::caller_error(app, &failure, session),
+        Some(ChatEvent::Kept(kept)) if chat.stream => sse(Body::from(encoder.replay(&kept))),
+        Some(ChatEvent::Kept(kept)) => stored_response(kept),
         Some(first) if chat.stream => {
-            sse(stream_body(app.clone(), writer, first, events, session.to_string()))
+            sse(stream_body(app.clone(), encoder, first, events, session.to_string()))
         }
-        Some(first) => whole_response(app, &writer, first, events, session).await,
+        Some(first) => collect_response(app, &encoder, first, events, session).await,
     };
     if let Ok(value) = id.parse() {
         response.headers_mut().insert(HEADER_REQUEST_ID, value);
@@ -217,14 +226,14 @@
     Response::builder().content_type("text/event-stream").header("cache-control", "no-cache").body(body)
 }
 
-fn kept_response(kept: KeptAnswer) -> Response {
+fn stored_response(kept: KeptAnswer) -> Response {
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     Response::builder().status(status).content_type(&kept.content_type).body(kept.body)
 }
 
-async fn whole_response(
+async fn collect_response(
     app: &App,
-    writer: &CompletionWriter,
+    encoder: &CompletionEncoder,
     first: ChatEvent,
     mut events: mpsc::Receiver<ChatEvent>,
     session: &str,
@@ -234,17 +243,17 @@
     while let Some(event) = next {
         match event {
             ChatEvent::Text(more) => text.push_str(&more),
-            ChatEvent::Finished(finish) => return whole(writer, &text, &finish),
-            ChatEvent::Kept(kept) => return kept_response(kept),
-            ChatEvent::Failed(failure) => return refusal::caller(app, &failure, session),
+            ChatEvent::Finished(stats) => return completion_response(encoder, &text, &stats),
+            ChatEvent::Kept(kept) => return stored_response(kept),
+            ChatEvent::Failed(failure) => return refusal::caller_error(app, &failure, session),
         }
         next = events.recv().await;
     }
-    refusal::bare(ResultCode::OutcomeUnknown, "the request ended without a result")
+    refusal::plain_error(ResultCode::OutcomeUnknown, "the request ended without a result")
 }
 
-fn whole(writer: &CompletionWriter, text: &str, finish: &Finish) -> Response {
-    let completion = writer.whole(text, finish);
+fn completion_response(encoder: &CompletionEncoder, text: &str, stats: &CompletionStats) -> Response {
+    let completion = encoder.complete(text, stats);
     Response::builder()
         .content_type("application/json")
         .body(serde_json::to_vec(&completion).unwrap_or_default())
@@ -252,57 +261,61 @@
 
 fn stream_body(
     app: App,
-    writer: CompletionWriter,
+    encoder: CompletionEncoder,
     first: ChatEvent,
     events: mpsc::Receiver<ChatEvent>,
     session: String,
 ) -> Body {
-    struct Feed {
+    struct EventStream {
         app: App,
-        writer: CompletionWriter,
+        encoder: CompletionEncoder,
         pending: Option<ChatEvent>,
         events: mpsc::Receiver<ChatEvent>,
         session: String,
         ended: bool,
     }
-    let begin = futures::stream::iter([Ok::<Bytes, std::io::Error>(Bytes::from(writer.begin()))]);
-    let feed = Feed { app, writer, pending: Some(first), events, session, ended: false };
-    let rest = futures::stream::unfold(feed, |mut feed| async move {
-        if feed.ended {
+    let begin = futures::stream::iter([Ok::<Bytes, std::io::Error>(Bytes::from(encoder.begin()))]);
+    let event_stream = EventStream { app, encoder, pending: Some(first), events, session, ended: false };
+    let rest = futures::stream::unfold(event_stream, |mut event_stream| async move {
+        if event_stream.ended {
             return None;
         }
-        let event = match feed.pending.take() {
+        let event = match event_stream.pending.take() {
             Some(event) => event,
-            None => feed.events.recv().await?,
+            None => event_stream.events.recv().await?,
         };
         let bytes = match event {
-            ChatEvent::Text(text) => feed.writer.text(text),
-            ChatEvent::Finished(finish) => {
-                feed.ended = true;
-                feed.writer.finish(&finish)
+            ChatEvent::Text(text) => event_stream.encoder.text(text),
+            ChatEvent::Finished(stats) => {
+                event_stream.ended = true;
+                event_stream.encoder.finish(&stats)
             }
             ChatEvent::Kept(kept) => {
-                feed.ended = true;
-                feed.writer.replay(&kept)
+                event_stream.ended = true;
+                event_stream.encoder.replay(&kept)
             }
             ChatEvent::Failed(failure) => {
-                feed.ended = true;
-                feed.writer.failed(&refusal::caller_body(&feed.app, &failure, &feed.session))
+                event_stream.ended = true;
+                event_stream.encoder.error(&refusal::caller_error_body(
+                    &event_stream.app,
+                    &failure,
+                    &event_stream.session,
+                ))
             }
         };
-        Some((Ok(Bytes::from(bytes)), feed))
+        Some((Ok(Bytes::from(bytes)), event_stream))
     });
     Body::from_bytes_stream(futures::StreamExt::chain(begin, rest))
 }
 
-/// `GET /v1/requests/{id}`: what became of a request, from any daemon.
+/// `GET /v1/requests/{id}`: the outcome of a request, available at any daemon.
 #[handler]
 pub async fn request_outcome(Data(app): Data<&App>, request: &Request, Path(id): Path<String>) -> Response {
-    let tenant = match auth::tenant(app, request) {
+    let tenant = match auth::authenticate_tenant(app, request) {
         Ok(tenant) => tenant,
-        Err(error) => return refusal::caller_counted(app, &failure(&error), ""),
+        Err(error) => return refusal::counted_caller_error(app, &failure(&error), ""),
     };
-    let record = find(&app.traffic, &record_key(&tenant, &id)).await.record;
+    let record = find_record(&app.traffic, &record_key(&tenant, &id)).await.record;
     let Some(record) = record else { return not_found(&id) };
     let answer = OutcomeAnswer {
         id,
@@ -313,41 +326,43 @@
     poem::IntoResponse::into_response(Json(answer))
 }
 
-/// `GET /v1/requests/{id}/answer`: the whole answer, while it is kept.
+/// `GET /v1/requests/{id}/answer`: the complete answer, while it is stored.
 #[handler]
 pub async fn request_answer(Data(app): Data<&App>, request: &Request, Path(id): Path<String>) -> Response {
-    let tenant = match auth::tenant(app, request) {
+    let tenant = match auth::authenticate_tenant(app, request) {
         Ok(tenant) => tenant,
-        Err(error) => return refusal::caller_counted(app, &failure(&error), ""),
+        Err(error) => return refusal::counted_caller_error(app, &failure(&error), ""),
     };
-    let record = find(&app.traffic, &record_key(&tenant, &id)).await.record;
+    let record = find_record(&app.traffic, &record_key(&tenant, &id)).await.record;
     match record.map(|record| (record.outcome, record.answer)) {
-        Some((_, Some(kept))) => kept_response(kept),
+        Some((_, Some(kept))) => stored_response(kept),
         Some((Outcome::Running, None)) => {
-            refusal::bare(ResultCode::AlreadyRunning, "the request is still running")
+            refusal::plain_error(ResultCode::AlreadyRunning, "the request is still running")
+        }
+        Some((Outcome::Unknown, None)) => {
+            refusal::plain_error(ResultCode::OutcomeUnknown, "no answer is known")
         }
-        Some((Outcome::Unknown, None)) => refusal::bare(ResultCode::OutcomeUnknown, "no answer is known"),
         _ => not_found(&id),
     }
 }
 
 fn not_found(id: &str) -> Response {
-    refusal::bare(ResultCode::RequestNotFound, &format!("no record of request '{id}'"))
+    refusal::plain_error(ResultCode::RequestNotFound, &format!("no record of request '{id}'"))
 }
 
-/// Bytes of a body beyond its limit that are read and dropped before it is refused. A connection that is closed with
-/// bytes unread is reset, and the caller may lose the refusal.
-const DRAINED_BYTES: u64 = 8 << 20;
+/// Maximum number of bytes beyond the body limit that are read and discarded before the request is refused. Closing a
+/// connection with unread data resets it, so that the caller may not receive the refusal.
+const MAX_DISCARDED_BYTES: u64 = 8 << 20;
 
 async fn read_limited(body: Body, limit: usize) -> Result<Vec<u8>, ApiError> {
-    let broken = |error: std::io::Error| ApiError::new(ResultCode::BadJson, error.to_string());
+    let read_error = |error: std::io::Error| ApiError::new(ResultCode::BadJson, error.to_string());
     let mut reader = body.into_async_read();
     let mut bytes = Vec::new();
-    (&mut reader).take(limit as u64 + 1).read_to_end(&mut bytes).await.map_err(broken)?;
+    (&mut reader).take(limit as u64 + 1).read_to_end(&mut bytes).await.map_err(read_error)?;
     if bytes.len() <= limit {
         return Ok(bytes);
     }
-    let mut rest = reader.take(DRAINED_BYTES);
-    tokio::io::copy(&mut rest, &mut tokio::io::sink()).await.map_err(broken)?;
+    let mut rest = reader.take(MAX_DISCARDED_BYTES);
+    tokio::io::copy(&mut rest, &mut tokio::io::sink()).await.map_err(read_error)?;
     Err(ApiError::new(ResultCode::BodyTooLarge, format!("the body has more than {limit} bytes")))
 }
--- a/crates/daemon/src/http/health.rs
+++ b/crates/daemon/src/http/health.rs
@@ -1,17 +1,17 @@
-//! Health and metrics.
+//! Health checks and metrics.
 
 use super::App;
 use poem::http::StatusCode;
 use poem::web::Data;
 use poem::{Response, handler};
 
-/// The process runs.
+/// Liveness check: the process is running.
 #[handler]
 pub fn alive() -> &'static str {
     "ok\n"
 }
 
-/// The daemon takes new work: it holds a lease and is not leaving.
+/// Readiness check: the daemon accepts new requests, because it holds a lease and is not leaving.
 #[handler]
 pub fn ready(Data(app): Data<&App>) -> Response {
     let (status, text) = if app.shared.is_leaving() {
@@ -24,7 +24,7 @@
     Response::builder().status(status).content_type("text/plain").body(text)
 }
 
-/// Metrics in prometheus's text form.
+/// Metrics in the Prometheus text format.
 #[handler]
 pub fn metrics(Data(app): Data<&App>) -> Response {
     Response::builder().content_type("text/plain; version=0.0.4").body(app.shared.metrics.render())
--- a/crates/daemon/src/http/list_query.rs
+++ b/crates/daemon/src/http/list_query.rs
@@ -1,74 +1,75 @@
-//! Queries of lists: label selection and paging.
+//! Query parameters of lists: label selectors and paging.
 
 use dockwood_api::resource::Metadata;
 use dockwood_api::{ApiError, ResultCode};
 use serde::Deserialize;
 
-/// Items of a page where the query names no limit.
+/// Page size if the query sets no limit.
 const DEFAULT_LIMIT: usize = 500;
-/// Items of a page, at most.
+/// Maximum page size.
 const MAX_LIMIT: usize = 5_000;
 
-/// Query of a list or watch.
+/// Query parameters of a list or watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ListQuery {
-    /// Items of the page.
+    /// Maximum number of items to return.
     pub limit: Option<usize>,
-    /// Name after which the page begins.
+    /// The page begins after this name.
     pub r#continue: Option<String>,
     /// Terms `key=value`, `key!=value` or `key`, separated by commas.
     pub label_selector: Option<String>,
-    /// Watch instead of listing.
+    /// Watches for changes instead of listing.
     pub watch: bool,
-    /// Where a watch begins.
+    /// Revision after which a watch begins.
     pub resource_version: Option<u64>,
 }
 
-/// One term of a selector.
+/// One term of a label selector.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Term {
+enum SelectorTerm {
     Equals(String, String),
-    Differs(String, String),
-    Present(String),
+    NotEquals(String, String),
+    Exists(String),
 }
 
-/// A parsed selector; all terms must hold.
+/// A parsed label selector. All terms must match.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
-    terms: Vec<Term>,
+    terms: Vec<SelectorTerm>,
 }
 
 impl Selector {
-    /// Parses a selector.
+    /// Parses a label selector.
     pub fn parse(text: &str) -> Result<Selector, ApiError> {
-        let terms: Result<Vec<Term>, ApiError> =
+        let terms: Result<Vec<SelectorTerm>, ApiError> =
             text.split(',').map(str::trim).filter(|term| !term.is_empty()).map(parse_term).collect();
         Ok(Selector { terms: terms? })
     }
 
-    /// Whether a resource is selected.
-    pub fn selects(&self, metadata: &Metadata) -> bool {
+    /// Returns whether a resource with this metadata is selected.
+    pub fn matches(&self, metadata: &Metadata) -> bool {
         self.terms.iter().all(|term| match term {
-            Term::Equals(key, value) => metadata.labels.get(key) == Some(value),
-            Term::Differs(key, value) => metadata.labels.get(key) != Some(value),
-            Term::Present(key) => metadata.labels.contains_key(key),
+            SelectorTerm::Equals(key, value) => metadata.labels.get(key) == Some(value),
+            SelectorTerm::NotEquals(key, value) => metadata.labels.get(key) != Some(value),
+            SelectorTerm::Exists(key) => metadata.labels.contains_key(key),
         })
     }
 }
 
-fn parse_term(term: &str) -> Result<Term, ApiError> {
-    let own = |key: &str, value: &str| (key.trim().to_string(), value.trim().to_string());
+fn parse_term(term: &str) -> Result<SelectorTerm, ApiError> {
+    let trimmed = |key: &str, value: &str| (key.trim().to_string(), value.trim().to_string());
     let parsed = if let Some((key, value)) = term.split_once("!=") {
-        let (key, value) = own(key, value);
-        Term::Differs(key, value)
+        let (key, value) = trimmed(key, value);
+        SelectorTerm::NotEquals(key, value)
     } else if let Some((key, value)) = term.split_once('=') {
-        let (key, value) = own(key, value);
-        Term::Equals(key, value)
+        let (key, value) = trimmed(key, value);
+        SelectorTerm::Equals(key, value)
     } else {
-        Term::Present(term.to_string())
+        SelectorTerm::Exists(term.to_string())
     };
-    let (Term::Equals(key, _) | Term::Differs(key, _) | Term::Present(key)) = &parsed;
+    let (SelectorTerm::Equals(key, _) | SelectorTerm::NotEquals(key, _) | SelectorTerm::Exists(key)) =
+        &parsed;
     if key.is_empty() {
         return Err(ApiError::new(ResultCode::BadQuery, format!("labelSelector: '{term}' has no key")));
     }
@@ -76,7 +77,7 @@
 }
 
 impl ListQuery {
-    /// The page size.
+    /// Returns the page size.
     pub fn page_limit(&self) -> Result<usize, ApiError> {
         match self.limit {
             None => Ok(DEFAULT_LIMIT),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The selector.
+    /// Returns the label selector.
     pub fn selector(&self) -> Result<Selector, ApiError> {
         Selector::parse(self.label_selector.as_deref().unwrap_or(""))
     }
--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: callers and operators on one address.
+//! HTTP server for callers and operators, on one address.
 
 mod auth;
 mod caller;
@@ -24,26 +24,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long open connections may take to end once the process stops; by then nothing is in flight.
-const CLOSE_LIMIT: Duration = Duration::from_millis(500);
+/// Time limit for open connections to close at shutdown. By then no requests are in flight.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What handlers use.
+/// State of the HTTP handlers.
 #[derive(Clone)]
 pub struct App {
-    /// Shared state.
+    /// State shared by all parts of the daemon.
     pub shared: Arc<Shared>,
-    /// Traffic.
+    /// State for handling requests.
     pub traffic: Arc<Traffic>,
 }
 
-/// Serves until `stop` completes.
+/// Serves HTTP until `stop` completes.
 pub async fn serve_http(
     app: App,
     listener: std::net::TcpListener,
     stop: impl Future<Output = ()> + Send + 'static,
 ) -> std::io::Result<()> {
     let acceptor = PromptAcceptor::new(tokio::net::TcpListener::from_std(listener)?);
-    Server::new_with_acceptor(acceptor).run_with_graceful_shutdown(routes(app), stop, Some(CLOSE_LIMIT)).await
+    Server::new_with_acceptor(acceptor)
+        .run_with_graceful_shutdown(routes(app), stop, Some(SHUTDOWN_TIMEOUT))
+        .await
 }
 
 fn routes(app: App) -> impl poem::Endpoint + 'static {
@@ -74,9 +76,9 @@
         .at("/services/:service/*path", service::call_service)
         .data(app)
         .catch_error(|_: NotFoundError| async {
-            refusal::bare(ResultCode::NoSuchPath, "there is no such path")
+            refusal::plain_error(ResultCode::NoSuchPath, "there is no such path")
         })
         .catch_error(|_: MethodNotAllowedError| async {
-            refusal::bare(ResultCode::NoSuchPath, "this path does not take this method")
+            refusal::plain_error(ResultCode::NoSuchPath, "this path does not take this method")
         })
 }
--- a/crates/daemon/src/http/operator.rs
+++ b/crates/daemon/src/http/operator.rs
@@ -1,4 +1,4 @@
-//! The resource API.
+//! The operator API: resources, status, evacuations and events.
 
 use super::list_query::ListQuery;
 use super::refusal::{self, HEADER_RESULT_CODE};
@@ -21,18 +21,18 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The operator's change id.
+/// Header with the operator's change id.
 const HEADER_CHANGE_ID: &str = "change-id";
-/// Longest change id.
+/// Maximum length of a change id.
 const MAX_CHANGE_ID_BYTES: usize = 128;
-/// Largest resource, in bytes.
+/// Maximum size of a resource, in bytes.
 const MAX_RESOURCE_BYTES: usize = 1 << 20;
-/// How long a change may take to be committed.
-pub(super) const CHANGE_LIMIT: Duration = Duration::from_secs(10);
-/// How long this daemon may take to see what it had committed.
-pub(super) const READ_OWN_WRITE: Duration = Duration::from_secs(2);
-/// How long the leader's view may take.
-const VIEW_LIMIT: Duration = Duration::from_secs(3);
+/// Time limit to commit a change.
+pub(super) const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit to apply a committed change at this daemon, so that the operator can read it back.
+pub(super) const READ_OWN_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit for the leader's view.
+const VIEW_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
@@ -41,8 +41,8 @@
     resource_version: u64,
 }
 
-pub(super) fn answer(app: &App, result: Result<Response, ApiError>) -> Response {
-    result.unwrap_or_else(|error| refusal::operator(app, &error))
+pub(super) fn respond(app: &App, result: Result<Response, ApiError>) -> Response {
+    result.unwrap_or_else(|error| refusal::operator_error(app, &error))
 }
 
 pub(super) fn json_response(status: StatusCode, code: ResultCode, body: &impl Serialize) -> Response {
@@ -58,14 +58,14 @@
     parsed.map_err(|error| ApiError::new(ResultCode::BadQuery, error.to_string()))
 }
 
-/// `GET /api/v1/{kind}`: a page, or a watch.
+/// `GET /api/v1/{kind}`: returns a page of resources, or watches them.
 #[handler]
 pub fn list_resources(Data(app): Data<&App>, request: &Request, Path(kind): Path<String>) -> Response {
-    answer(app, list_or_watch(app, request, &kind))
+    respond(app, list_or_watch(app, request, &kind))
 }
 
 fn list_or_watch(app: &App, request: &Request, kind: &str) -> Result<Response, ApiError> {
-    auth::operator(app, request, OperatorRole::Read)?;
+    auth::authorize_operator(app, request, OperatorRole::Read)?;
     let kind = Kind::from_str(kind)?;
     let query: ListQuery = query(request)?;
     let selector = query.selector()?;
@@ -82,10 +82,10 @@
     let names = view::names(tables, kind).into_iter().filter(|name| *name > after);
     let views = names
         .filter_map(|name| view::view(tables, published.in_force_revision, &ResourceKey::new(kind, name)));
-    let mut selected = views.filter(|view| selector.selects(&view.metadata));
+    let mut selected = views.filter(|view| selector.matches(&view.metadata));
     let items: Vec<ResourceView> = selected.by_ref().take(limit).collect();
-    let more = selected.next().is_some();
-    let next = items.last().filter(|_| more).map(|view| view.metadata.name.clone());
+    let has_more = selected.next().is_some();
+    let next = items.last().filter(|_| has_more).map(|view| view.metadata.name.clone());
     let body = json!({
         "apiVersion": API_VERSION, "kind": format!("{kind}List"), "resourceVersion": tables.revision,
         "continue": next, "items": items,
@@ -93,23 +93,23 @@
     Ok(json_response(StatusCode::OK, ResultCode::Ok, &body))
 }
 
-/// `GET /api/v1/{kind}/{name}`.
+/// `GET /api/v1/{kind}/{name}`: returns a resource.
 #[handler]
 pub fn read_resource(
     Data(app): Data<&App>,
     request: &Request,
     Path((kind, name)): Path<(String, String)>,
 ) -> Response {
-    let result = auth::operator(app, request, OperatorRole::Read).and_then(|()| {
+    let result = auth::authorize_operator(app, request, OperatorRole::Read).and_then(|()| {
         let key = ResourceKey::new(Kind::from_str(&kind)?, name);
         let published = app.shared.published();
         let view = view::view(&published.tables, published.in_force_revision, &key);
         view.ok_or_else(|| ApiError::new(ResultCode::NotFound, format!("{key} does not exist")))
     });
-    answer(app, result.map(|view| json_response(StatusCode::OK, ResultCode::Ok, &view)))
+    respond(app, result.map(|view| json_response(StatusCode::OK, ResultCode::Ok, &view)))
 }
 
-/// `POST /api/v1/{kind}`: creates.
+/// `POST /api/v1/{kind}`: creates a resource.
 #[handler]
 pub async fn create_resource(
     Data(app): Data<&App>,
@@ -117,10 +117,10 @@
     Path(kind): Path<String>,
     body: Body,
 ) -> Response {
-    answer(app, change(app, request, &kind, None, body, ChangeAction::Create).await)
+    respond(app, change(app, request, &kind, None, body, ChangeAction::Create).await)
 }
 
-/// `PUT /api/v1/{kind}/{name}`: replaces the version that the body names; creates or replaces if it names none.
+/// `PUT /api/v1/{kind}/{name}`: replaces the version given in the body. Without a version, creates or replaces.
 #[handler]
 pub async fn replace_resource(
     Data(app): Data<&App>,
@@ -132,10 +132,10 @@
         0 => ChangeAction::Apply(resource),
         _ => ChangeAction::Update(resource),
     };
-    answer(app, change(app, request, &kind, Some(&name), body, action).await)
+    respond(app, change(app, request, &kind, Some(&name), body, action).await)
 }
 
-/// `DELETE /api/v1/{kind}/{name}`.
+/// `DELETE /api/v1/{kind}/{name}`: deletes a resource.
 #[handler]
 pub async fn delete_resource(
     Data(app): Data<&App>,
@@ -144,13 +144,13 @@
     Query(query): Query<ChangeQuery>,
 ) -> Response {
     let result = async {
-        auth::operator(app, request, OperatorRole::Write)?;
+        auth::authorize_operator(app, request, OperatorRole::Write)?;
         let kind = writable(&kind)?;
         let key = ResourceKey::new(kind, name);
         let action = ChangeAction::Delete { key, resource_version: query.resource_version };
         commit(app, request, action, query.dry_run).await
     };
-    answer(app, result.await)
+    respond(app, result.await)
 }
 
 fn writable(kind: &str) -> Result<Kind, ApiError> {
@@ -169,7 +169,7 @@
     body: Body,
     action: impl FnOnce(Resource) -> ChangeAction,
 ) -> Result<Response, ApiError> {
-    auth::operator(app, request, OperatorRole::Write)?;
+    auth::authorize_operator(app, request, OperatorRole::Write)?;
     let kind = writable(kind)?;
     let query: ChangeQuery = query(request)?;
     let bytes = body.into_bytes_limit(MAX_RESOURCE_BYTES).await;
@@ -180,12 +180,12 @@
         let message = format!("the path names {kind} {}, the body {key}", name.unwrap_or(""));
         return Err(ApiError::new(ResultCode::NameMismatch, message));
     }
-    hide_secrets(&mut resource);
+    hash_tenant_keys(&mut resource);
     commit(app, request, action(resource), query.dry_run).await
 }
 
-/// Keys are stored as digests only.
-fn hide_secrets(resource: &mut Resource) {
+/// Replaces tenant keys by their digests: only the digests are stored.
+fn hash_tenant_keys(resource: &mut Resource) {
     if let Spec::Tenant(spec) = &mut resource.spec {
         spec.keys = spec.keys.iter().map(|key| secret_digest(key)).collect();
     }
@@ -202,10 +202,10 @@
     let body =
         CommandBody::Change(ChangeRequest { change_id, content_digest: content_digest(&content), action });
     if dry_run {
-        return Ok(change_response(app, try_out(app, body)));
+        return Ok(change_response(app, dry_run_outcome(app, body)));
     }
-    let (revision, outcome) = submit(&app.shared, body, CHANGE_LIMIT).await?;
-    app.shared.wait_for_revision(revision, READ_OWN_WRITE).await;
+    let (revision, outcome) = submit(&app.shared, body, CHANGE_TIMEOUT).await?;
+    app.shared.wait_for_revision(revision, READ_OWN_WRITE_TIMEOUT).await;
     Ok(change_response(app, outcome))
 }
 
@@ -220,8 +220,8 @@
     }
 }
 
-/// What the change would lead to, on a copy.
-fn try_out(app: &App, body: CommandBody) -> Outcome {
+/// Applies a change to a copy of the state, and returns its outcome.
+fn dry_run_outcome(app: &App, body: CommandBody) -> Outcome {
     let mut copy = State { tables: app.shared.tables().as_ref().clone(), ..State::default() };
     copy.apply(&Command { at_ms: wall_ms(), body }).outcome
 }
@@ -259,40 +259,41 @@
             let view = view::view_of_stored(&published.tables, published.in_force_revision, &current);
             body.error.current = serde_json::to_value(view).ok();
             app.shared.metrics.operator_refusals.with_label_values(&["4005"]).inc();
-            refusal::with_body(error.code(), &body)
-        }
-        Outcome::Refused(error) => refusal::operator(app, &error),
-        Outcome::Applied | Outcome::Claims(_) => {
-            refusal::operator(app, &ApiError::new(ResultCode::ProposalDropped, "the log gave no answer"))
+            refusal::error_response(error.code(), &body)
         }
+        Outcome::Refused(error) => refusal::operator_error(app, &error),
+        Outcome::Applied | Outcome::Claims(_) => refusal::operator_error(
+            app,
+            &ApiError::new(ResultCode::ProposalDropped, "the log gave no answer"),
+        ),
     }
 }
 
-/// `GET /api/v1/status`: the control leader's view.
+/// `GET /api/v1/status`: the control leader's view of the system.
 #[handler]
 pub async fn read_status(Data(app): Data<&App>, request: &Request) -> Response {
     let result = async {
-        auth::operator(app, request, OperatorRole::Read)?;
-        control_view(&app.shared, VIEW_LIMIT).await
+        auth::authorize_operator(app, request, OperatorRole::Read)?;
+        control_view(&app.shared, VIEW_TIMEOUT).await
     };
-    let respond = |view: Vec<u8>| Response::builder().content_type("application/json").body(view);
-    answer(app, result.await.map(respond))
+    let json_view = |view: Vec<u8>| Response::builder().content_type("application/json").body(view);
+    respond(app, result.await.map(json_view))
 }
 
-/// `PUT /api/v1/evacuations/{zone}`: keeps requests away from a zone's servers.
+/// `PUT /api/v1/evacuations/{zone}`: evacuates a zone, so that its servers receive no requests.
 #[handler]
 pub async fn evacuate_zone(Data(app): Data<&App>, request: &Request, Path(zone): Path<String>) -> Response {
-    answer(app, change_evacuation(app, request, zone, true).await)
+    respond(app, change_evacuation(app, request, zone, true).await)
 }
 
-/// `DELETE /api/v1/evacuations/{zone}`: lets a zone's servers have requests again.
+/// `DELETE /api/v1/evacuations/{zone}`: ends the evacuation of a zone, so that its servers receive requests again.
 #[handler]
 pub async fn withdraw_evacuation(
     Data(app): Data<&App>,
     request: &Request,
     Path(zone): Path<String>,
 ) -> Response {
-    answer(app, change_evacuation(app, request, zone, false).await)
+    respond(app, change_evacuation(app, request, zone, false).await)
 }
 
 async fn change_evacuation(
@@ -301,9 +302,9 @@
     zone: String,
     evacuated: bool,
 ) -> Result<Response, ApiError> {
-    auth::operator(app, request, OperatorRole::Write)?;
+    auth::authorize_operator(app, request, OperatorRole::Write)?;
     let body = json!({ "zone": zone, "evacuated": evacuated });
-    set_evacuation(&app.shared, zone, evacuated, CHANGE_LIMIT).await?;
+    set_evacuation(&app.shared, zone, evacuated, CHANGE_TIMEOUT).await?;
     Ok(json_response(StatusCode::OK, ResultCode::Accepted, &body))
 }
 
@@ -313,12 +314,12 @@
     after: u64,
 }
 
-/// `GET /api/v1/events`: this daemon's part of the time line.
+/// `GET /api/v1/events`: the events recorded at this daemon.
 #[handler]
 pub fn list_events(Data(app): Data<&App>, request: &Request) -> Response {
-    let result =
-        auth::operator(app, request, OperatorRole::Read).and_then(|()| query::<EventsQuery>(request));
-    answer(
+    let result = auth::authorize_operator(app, request, OperatorRole::Read)
+        .and_then(|()| query::<EventsQuery>(request));
+    respond(
         app,
         result.map(|query| {
             let items = app.shared.timeline.since(query.after);
--- a/crates/daemon/src/http/quarantine.rs
+++ b/crates/daemon/src/http/quarantine.rs
@@ -1,6 +1,6 @@
-//! Requests under which servers end, for operators: which are under quarantine and why, and their release.
+//! Operator endpoints for requests that crash servers: which requests are quarantined and why, and their release.
 
-use super::operator::{CHANGE_LIMIT, READ_OWN_WRITE, answer, json_response};
+use super::operator::{CHANGE_TIMEOUT, READ_OWN_WRITE_TIMEOUT, json_response, respond};
 use super::{App, auth};
 use crate::clock::wall_ms;
 use crate::peer::submit;
@@ -15,55 +15,56 @@
 use poem::{Request, Response, handler};
 use serde_json::{Value, json};
 
-/// `GET /api/v1/quarantine`: requests under quarantine or on probation.
+/// `GET /api/v1/quarantine`: the requests under quarantine or on probation.
 #[handler]
 pub fn list_quarantine(Data(app): Data<&App>, request: &Request) -> Response {
-    let result = auth::operator(app, request, OperatorRole::Read).map(|()| {
+    let result = auth::authorize_operator(app, request, OperatorRole::Read).map(|()| {
         let tables = app.shared.tables();
         let suspicion = &tables.gateway.suspicion;
         let now_ms = wall_ms();
-        let items: Vec<Value> = suspicion.quarantined.values().map(|row| shown(row, now_ms)).collect();
+        let items: Vec<Value> =
+            suspicion.quarantined.values().map(|row| quarantine_json(row, now_ms)).collect();
         let body = json!({ "kind": "QuarantineList", "suspects": suspicion.suspect_count(), "items": items });
         json_response(StatusCode::OK, ResultCode::Ok, &body)
     });
-    answer(app, result)
+    respond(app, result)
 }
 
-/// `GET /api/v1/quarantine/{fingerprint}`: how a request stands, and the servers that ended under it.
+/// `GET /api/v1/quarantine/{fingerprint}`: the status of a request, and the server crashes attributed to it.
 #[handler]
 pub fn explain_request(Data(app): Data<&App>, request: &Request, Path(text): Path<String>) -> Response {
-    let result = auth::operator(app, request, OperatorRole::Read).and_then(|()| {
-        let fingerprint = fingerprint_of(&text)?;
+    let result = auth::authorize_operator(app, request, OperatorRole::Read).and_then(|()| {
+        let fingerprint = parse_fingerprint(&text)?;
         let tables = app.shared.tables();
-        let body = explained(&tables.gateway.suspicion, fingerprint, wall_ms());
+        let body = status_json(&tables.gateway.suspicion, fingerprint, wall_ms());
         Ok(json_response(StatusCode::OK, ResultCode::Ok, &body))
     });
-    answer(app, result)
+    respond(app, result)
 }
 
-/// `DELETE /api/v1/quarantine/{fingerprint}`: releases a request; nothing speaks against it any more.
+/// `DELETE /api/v1/quarantine/{fingerprint}`: releases a request and clears the evidence against it.
 #[handler]
 pub async fn release_request(Data(app): Data<&App>, request: &Request, Path(text): Path<String>) -> Response {
-    answer(app, release(app, request, &text).await)
+    respond(app, release(app, request, &text).await)
 }
 
 async fn release(app: &App, request: &Request, text: &str) -> Result<Response, ApiError> {
-    auth::operator(app, request, OperatorRole::Write)?;
-    let fingerprint = fingerprint_of(text)?;
+    auth::authorize_operator(app, request, OperatorRole::Write)?;
+    let fingerprint = parse_fingerprint(text)?;
     let reason = format!("released by an operator at {}", app.shared.settings.name);
     let command = GatewayCommand::ClearRequest { fingerprint, reason };
-    let (revision, _) = submit(&app.shared, CommandBody::Gateway(command), CHANGE_LIMIT).await?;
-    app.shared.wait_for_revision(revision, READ_OWN_WRITE).await;
+    let (revision, _) = submit(&app.shared, CommandBody::Gateway(command), CHANGE_TIMEOUT).await?;
+    app.shared.wait_for_revision(revision, READ_OWN_WRITE_TIMEOUT).await;
     let body = json!({ "fingerprint": text, "standing": "unsuspected" });
     Ok(json_response(StatusCode::OK, ResultCode::Accepted, &body))
 }
 
-fn fingerprint_of(text: &str) -> Result<Fingerprint, ApiError> {
+fn parse_fingerprint(text: &str) -> Result<Fingerprint, ApiError> {
     let code = ResultCode::FingerprintMalformed;
     text.parse().map_err(|_| ApiError::new(code, code.meaning()))
 }
 
-fn shown(row: &QuarantineRow, now_ms: u64) -> Value {
+fn quarantine_json(row: &QuarantineRow, now_ms: u64) -> Value {
     json!({
         "fingerprint": row.fingerprint.to_string(),
         "tenant": row.tenant,
@@ -72,21 +73,21 @@
         "sinceMs": row.since_ms,
         "untilMs": row.until_ms,
         "offences": row.offences,
-        "evidence": row.evidence.iter().map(shown_evidence).collect::<Vec<Value>>(),
+        "evidence": row.evidence.iter().map(evidence_json).collect::<Vec<Value>>(),
     })
 }
 
-fn shown_evidence(evidence: &Evidence) -> Value {
+fn evidence_json(evidence: &Evidence) -> Value {
     let Evidence { instance, zone, at_ms, request, daemon } = evidence;
     json!({ "instance": instance, "zone": zone, "atMs": at_ms, "request": request, "toldBy": daemon })
 }
 
-fn explained(suspicion: &SuspicionTable, fingerprint: Fingerprint, now_ms: u64) -> Value {
+fn status_json(suspicion: &SuspicionTable, fingerprint: Fingerprint, now_ms: u64) -> Value {
     if let Some(row) = suspicion.quarantined.get(&fingerprint) {
-        return shown(row, now_ms);
+        return quarantine_json(row, now_ms);
     }
     let crashes = suspicion.attributed_crashes(fingerprint);
-    let evidence = crashes.iter().filter_map(|row| shown_crash(row, fingerprint)).collect::<Vec<Value>>();
+    let evidence = crashes.iter().filter_map(|row| crash_json(row, fingerprint)).collect::<Vec<Value>>();
     let standing = match suspicion.status(fingerprint, now_ms) {
         SuspicionStatus::Unsuspected => "unsuspected",
         SuspicionStatus::Suspect => "suspect",
@@ -95,7 +96,7 @@
     json!({ "fingerprint": fingerprint.to_string(), "standing": standing, "evidence": evidence })
 }
 
-fn shown_crash(row: &CrashRow, fingerprint: Fingerprint) -> Option<Value> {
+fn crash_json(row: &CrashRow, fingerprint: Fingerprint) -> Option<Value> {
     let suspect = row.suspect(fingerprint)?;
     Some(json!({
         "instance": row.instance, "zone": row.zone, "atMs": row.at_ms, "request": suspect.tried.request,
--- a/crates/daemon/src/http/streamed.rs
+++ b/crates/daemon/src/http/streamed.rs
@@ -1,4 +1,4 @@
-//! Bodies that are passed on as they arrive.
+//! Response bodies that are forwarded while they are received.
 
 use crate::log_line::LineBody;
 use crate::logging;
@@ -6,19 +6,19 @@
 use futures::{Stream, StreamExt};
 use poem::Body;
 
-/// A body that cuts its connection when it fails. The HTTP library ends a body that fails as if it were whole; only
-/// the end of the connection's task, which takes nothing else along, keeps it from doing so.
-pub fn whole_or_cut<S, E>(pieces: S) -> Body
+/// Creates a body that aborts its connection on an error. The HTTP library terminates a failed body as if it were
+/// complete. This is prevented only by a panic in the task of the connection, which affects no other connection.
+pub fn whole_or_cut<S, E>(chunks: S) -> Body
 where
     S: Stream<Item = Result<Bytes, E>> + Send + 'static,
     E: std::error::Error + Send + Sync + 'static,
 {
-    Body::from_bytes_stream(pieces.map(|piece| match piece {
+    Body::from_bytes_stream(chunks.map(|chunk| match chunk {
         Ok(bytes) => Ok::<Bytes, std::io::Error>(bytes),
         Err(error) => {
-            let message = format!("a streamed answer is cut: {error}");
+            let message = format!("aborting the connection of a streamed response after an error: {error}");
             logging::write("", LineBody::Fault { message: &message });
-            std::panic::resume_unwind(Box::new("a streamed answer is cut"))
+            std::panic::resume_unwind(Box::new("the body of a streamed response failed"))
         }
     }))
 }
--- a/crates/daemon/src/http/watch.rs
+++ b/crates/daemon/src/http/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: one JSON object a line for every change of the selected resources, from a revision on.
+//! Watches: stream the changes of selected resources from a revision on, as one JSON object per line.
 
 use super::list_query::Selector;
 use crate::shared::Shared;
@@ -13,20 +13,20 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Time after which a quiet watch says how far it is.
-const BOOKMARK_EVERY: Duration = Duration::from_secs(10);
+/// Interval of bookmarks in a watch without changes.
+const BOOKMARK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// One line of a watch.
+/// One line of a watch stream.
 #[derive(Debug, Serialize)]
 #[serde(tag = "type", rename_all = "UPPERCASE", rename_all_fields = "camelCase")]
 enum WatchLine {
-    /// The resource is there and has changed; its status may be what changed.
+    /// The resource exists and has changed, possibly only in its status.
     Modified { object: Box<ResourceView>, resource_version: u64 },
-    /// The resource is gone.
+    /// The resource was deleted.
     Deleted { kind: Kind, name: String, resource_version: u64 },
-    /// Nothing that was selected has changed up to here; a watch may resume from it.
+    /// No selected resource has changed up to this revision. A watch may resume from it.
     Bookmark { resource_version: u64 },
-    /// The watch can't go on from where it is.
+    /// The watch can't continue from its revision.
     Error { code: u16, message: String },
 }
 
@@ -41,7 +41,7 @@
     ended: bool,
 }
 
-/// Lines from `from` on; from now on if it is absent.
+/// Streams the changes after revision `from`, or after the current one if it is absent.
 pub fn watch_stream(
     shared: Arc<Shared>,
     kind: Kind,
@@ -60,7 +60,8 @@
         kind,
         selector,
         revision,
-        // What came into force before the watch began is told only with the changes that it asks for.
+        // A revision that came into force before the watch began is reported only with the changes that the watch
+        // requests.
         in_force_revision: revision.min(published.in_force_revision),
         lines: VecDeque::new(),
         ended: false,
@@ -80,42 +81,45 @@
             if self.ended {
                 return None;
             }
-            self.gather();
+            self.collect_changes();
             if !self.lines.is_empty() {
                 continue;
             }
-            match tokio::time::timeout(BOOKMARK_EVERY, self.publications.changed()).await {
+            match tokio::time::timeout(BOOKMARK_INTERVAL, self.publications.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return None,
-                Err(_) => self.push(&WatchLine::Bookmark { resource_version: self.revision }),
+                Err(_) => self.push_line(&WatchLine::Bookmark { resource_version: self.revision }),
             }
         }
     }
 
-    fn gather(&mut self) {
+    fn collect_changes(&mut self) {
         let published = self.shared.published();
         let (revision, in_force) = (published.tables.revision, published.in_force_revision);
         let hub = &self.shared.watch_hub;
         let changed = hub.touched(self.revision, revision);
-        // What has come into force since shows in the status of what was changed up to there.
-        let in_force_now = hub.touched(self.in_force_revision, in_force.min(revision));
+        // A revision that comes into force changes the status of the resources that were changed up to it.
+        let newly_in_force = hub.touched(self.in_force_revision, in_force.min(revision));
         let Some(mut keys) = changed else {
             let message = format!("resourceVersion {} is older than the retained changes", self.revision);
-            self.push(&WatchLine::Error { code: ResultCode::WatchTooOld.number(), message });
+            self.push_line(&WatchLine::Error { code: ResultCode::WatchTooOld.number(), message });
             self.ended = true;
             return;
         };
-        keys.extend(in_force_now.unwrap_or_default());
+        keys.extend(newly_in_force.unwrap_or_default());
         self.revision = revision.max(self.revision);
         self.in_force_revision = in_force.max(self.in_force_revision);
         let wanted: BTreeSet<ResourceKey> = keys.into_iter().filter(|key| key.kind == self.kind).collect();
         for key in wanted {
             match view::view(&published.tables, in_force, &key) {
-                Some(object) if self.selector.selects(&object.metadata) => {
-                    self.push(&WatchLine::Modified { object: Box::new(object), resource_version: revision });
+                Some(object) if self.selector.matches(&object.metadata) => {
+                    self.push_line(&WatchLine::Modified {
+                        object: Box::new(object),
+                        resource_version: revision,
+                    });
                 }
                 Some(_) => {}
-                None => self.push(&WatchLine::Deleted {
+                None => self.push_line(&WatchLine::Deleted {
                     kind: key.kind,
                     name: key.name,
                     resource_version: revision,
@@ -124,7 +128,7 @@
         }
     }
 
-    fn push(&mut self, line: &WatchLine) {
+    fn push_line(&mut self, line: &WatchLine) {
         let mut bytes = serde_json::to_vec(line).unwrap_or_default();
         bytes.push(b'\n');
         self.lines.push_back(Bytes::from(bytes));
--- a/crates/daemon/src/peer/clients.rs
+++ b/crates/daemon/src/peer/clients.rs
@@ -1,4 +1,4 @@
-//! Connections to other daemons: one each, made when first used and again after a failure.
+//! Connections to other daemons: one per daemon, established on first use and again after a failure.
 
 use super::transport::peer_transport;
 use crate::lock::lock;
@@ -12,25 +12,25 @@
 use tarpc::context::Context;
 use tokio::net::TcpStream;
 
-/// How long a connection may take to be made.
+/// Time limit to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 quick_error! {
-    /// Why a call to a daemon has no answer.
+    /// Why a call to a daemon returned no response.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PeerFailure {
-        /// No connection: the call did not reach the daemon.
+        /// The connection could not be established: the call did not reach the daemon.
         Unreachable {
             display("the daemon can't be reached")
         }
-        /// The connection broke, or the time ran out: the call may have been carried out.
+        /// The connection failed, or the time limit passed: the call may have been executed.
         NoAnswer {
             display("the daemon did not answer")
         }
     }
 }
 
-/// Clients by address.
+/// Clients by daemon address.
 #[derive(Default)]
 pub struct PeerClients {
     clients: Mutex<HashMap<SocketAddr, PeerClient>>,
@@ -41,7 +41,7 @@
         lock(&self.clients)
     }
 
-    async fn connected(&self, address: SocketAddr) -> Result<PeerClient, PeerFailure> {
+    async fn connect(&self, address: SocketAddr) -> Result<PeerClient, PeerFailure> {
         if let Some(client) = self.clients().get(&address) {
             return Ok(client.clone());
         }
@@ -53,7 +53,7 @@
         Ok(client)
     }
 
-    /// Makes one call. A broken connection is dropped, so that the next call connects anew.
+    /// Makes one call. After a failure the connection is dropped, so that the next call establishes a new one.
     pub async fn call<T, F, Call>(
         &self,
         address: SocketAddr,
@@ -64,13 +64,14 @@
         F: FnOnce(PeerClient, Context) -> Call,
         Call: Future<Output = Result<T, RpcError>>,
     {
-        let client = self.connected(address).await?;
+        let client = self.connect(address).await?;
         let mut context = tarpc::context::current();
         context.deadline = Instant::now() + limit;
-        // The client's own deadline begins once the request is written: to a peer that doesn't read, it never is.
+        // The client's own deadline begins only when the request has been written, which never happens if the peer does
+        // not read.
         match tokio::time::timeout(limit, call(client, context)).await {
             Ok(Ok(answer)) => Ok(answer),
-            // Also after a time-out: behind a cut that has healed, an old connection may take long to come back.
+            // Also after a timeout: when a network partition has ended, an old connection may take long to recover.
             Ok(Err(_)) | Err(_) => {
                 self.clients().remove(&address);
                 Err(PeerFailure::NoAnswer)
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons, by `tarpc`.
+//! RPC between daemons, based on `tarpc`.
 
 mod clients;
 mod relay;
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The daemon's side of the peer service.
+//! Server side of the peer RPC service.
 
 use super::relay::relay;
 use super::transport::peer_transport;
@@ -24,8 +24,8 @@
 use tarpc::server::{BaseChannel, Channel};
 use tokio::sync::oneshot;
 
-/// How long the control thread may take to publish what it has applied: it does so once in each turn.
-const PUBLISH_LIMIT: Duration = Duration::from_millis(200);
+/// Time limit for the control thread to publish a revision that it has applied: it publishes once per iteration.
+const PUBLISH_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Clone)]
 struct PeerServer {
@@ -33,38 +33,40 @@
     traffic: Arc<Traffic>,
 }
 
-/// Accepts other daemons for ever.
+/// Accepts connections of other daemons until the process ends.
 pub async fn serve_peers(shared: Arc<Shared>, traffic: Arc<Traffic>, listener: tokio::net::TcpListener) {
     let server = PeerServer { shared, traffic };
     loop {
-        // A connection that ends while it is accepted concerns nobody else.
+        // The failure of one connection while it is accepted does not affect the others.
         let Ok((stream, _)) = listener.accept().await else { continue };
         let Ok(transport) = peer_transport(stream) else { continue };
         let channel = BaseChannel::with_defaults(transport);
-        let serve = channel.execute(server.clone().serve()).for_each(|answering| async move {
-            tokio::spawn(answering);
+        let serve = channel.execute(server.clone().serve()).for_each(|call| async move {
+            tokio::spawn(call);
         });
         tokio::spawn(serve);
     }
 }
 
 impl PeerServer {
-    fn count(&self, method: &str) {
+    fn count_call(&self, method: &str) {
         self.shared.metrics.peer_calls.with_label_values(&[method]).inc();
     }
 
-    /// The configuration's document once this daemon has published what a revision brought.
+    /// Returns the configuration document once this daemon has published the given revision.
     async fn document_at(&self, revision: u64) -> DocumentAnswer {
-        if !self.shared.wait_for_revision(revision, PUBLISH_LIMIT).await {
+        if !self.shared.wait_for_revision(revision, PUBLISH_TIMEOUT).await {
             return DocumentAnswer::NotLeader { leader: None };
         }
         let tables = self.shared.tables();
-        let held = tables.gateway.configuration.as_ref();
-        DocumentAnswer::Current { document: held.map(|held| held.document.clone()).unwrap_or_default() }
+        let configuration = tables.gateway.configuration.as_ref();
+        DocumentAnswer::Current {
+            document: configuration.map(|configuration| configuration.document.clone()).unwrap_or_default(),
+        }
     }
 
-    /// Asks the control thread; `None` if it has ended.
-    async fn ask<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> ControlMessage) -> Option<T> {
+    /// Sends a message to the control thread and waits for its reply; `None` if the thread has ended.
+    async fn ask_control<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> ControlMessage) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.shared.control.send(message(reply)).await;
         answer.await.ok()
@@ -73,12 +75,12 @@
 
 impl Peer for PeerServer {
     async fn consensus(self, _: Context, messages: Vec<u8>) {
-        self.count("consensus");
+        self.count_call("consensus");
         self.shared.control.send(ControlMessage::Consensus { messages }).await;
     }
 
     async fn lease(self, _: Context, request: LeaseRequest) -> LeaseAnswer {
-        self.count("lease");
+        self.count_call("lease");
         self.shared.timeline.observe(request.stamp);
         if !self.shared.settings.is_control_member() {
             let call = |client: PeerClient, context| async move { client.lease(context, request).await };
@@ -88,7 +90,7 @@
         if !self.shared.hears_control_leader() {
             self.shared.note_asker(request.daemon.peer);
         }
-        match self.ask(|reply| ControlMessage::Lease { request, reply }).await {
+        match self.ask_control(|reply| ControlMessage::Lease { request, reply }).await {
             Some(LeaseAnswer::NotLeader { leader: None }) | None => {
                 LeaseAnswer::NotLeader { leader: self.shared.leader_for_others() }
             }
@@ -97,26 +99,26 @@
     }
 
     async fn delegate_leases(self, _: Context, requests: Vec<DelegatedRequest>) -> DelegationAnswer {
-        self.count("delegate_leases");
-        let answer = self.ask(|reply| ControlMessage::Delegate { requests, reply }).await;
+        self.count_call("delegate_leases");
+        let answer = self.ask_control(|reply| ControlMessage::Delegate { requests, reply }).await;
         answer.unwrap_or(DelegationAnswer::NotLeader { leader: None })
     }
 
     async fn submit(self, _: Context, command: Vec<u8>) -> SubmitReply {
-        self.count("submit");
-        let answer = self.ask(|reply| ControlMessage::Submit { command, reply }).await;
+        self.count_call("submit");
+        let answer = self.ask_control(|reply| ControlMessage::Submit { command, reply }).await;
         let message = "the control thread ended before the command was applied".to_string();
         answer.unwrap_or(SubmitReply::Failed { code: ResultCode::ProposalDropped, message })
     }
 
     async fn observe(self, _: Context, term: u64, observations: Vec<Observation>) -> bool {
-        self.count("observe");
-        let asked = self.ask(|reply| ControlMessage::Observe { term, observations, reply });
-        asked.await.unwrap_or(false)
+        self.count_call("observe");
+        let pending_reply = self.ask_control(|reply| ControlMessage::Observe { term, observations, reply });
+        pending_reply.await.unwrap_or(false)
     }
 
     async fn exchange_load(self, _: Context, report: LoadReport) -> Option<LoadDigest> {
-        self.count("exchange_load");
+        self.count_call("exchange_load");
         if !self.shared.settings.is_control_member() {
             if let Some(scope) = report.scope.clone() {
                 let is_witness = self.shared.dispatchers.is_witness(&self.shared.tables(), &report.daemon);
@@ -126,11 +128,11 @@
                 |client: PeerClient, context| async move { client.exchange_load(context, report).await };
             return relay(&self.shared, call).await.flatten();
         }
-        self.ask(|reply| ControlMessage::ExchangeLoad { report, reply }).await.flatten()
+        self.ask_control(|reply| ControlMessage::ExchangeLoad { report, reply }).await.flatten()
     }
 
     async fn assign_place(self, _: Context, request: PlaceRequest) -> Option<PlaceReply> {
-        self.count("assign_place");
+        self.count_call("assign_place");
         if !self.shared.settings.is_control_member() {
             if let Some(zone) = request.group_zone.clone() {
                 let scope =
@@ -141,37 +143,38 @@
                 |client: PeerClient, context| async move { client.assign_place(context, request).await };
             return relay(&self.shared, call).await.flatten();
         }
-        self.ask(|reply| ControlMessage::AssignPlace { request, reply }).await.flatten()
+        self.ask_control(|reply| ControlMessage::AssignPlace { request, reply }).await.flatten()
     }
 
     async fn share_limits(self, _: Context, news: LimitNews) {
-        self.count("share_limits");
+        self.count_call("share_limits");
         self.shared.pushback.take_news(&self.shared, &news);
     }
 
     async fn take_turn(self, _: Context, request: TurnRequest) -> TurnReply {
-        self.count("take_turn");
+        self.count_call("take_turn");
         self.shared.pushback.give_turn(&self.shared, &request)
     }
 
     async fn register(self, _: Context, reports: Vec<InstanceReport>) -> Vec<SubmitReply> {
-        self.count("register");
-        let asked =
-            reports.into_iter().map(|report| self.ask(|reply| ControlMessage::Register { report, reply }));
-        let answers = futures::future::join_all(asked).await;
+        self.count_call("register");
+        let pending_replies = reports
+            .into_iter()
+            .map(|report| self.ask_control(|reply| ControlMessage::Register { report, reply }));
+        let answers = futures::future::join_all(pending_replies).await;
         let no_leader = || SubmitReply::NotLeader { leader: None };
         answers.into_iter().map(|answer| answer.unwrap_or_else(no_leader)).collect()
     }
 
     async fn read_revision(self, _: Context) -> ReadAnswer {
-        self.count("read_revision");
-        let answer = self.ask(|reply| ControlMessage::ReadRevision { reply }).await;
+        self.count_call("read_revision");
+        let answer = self.ask_control(|reply| ControlMessage::ReadRevision { reply }).await;
         answer.unwrap_or(ReadAnswer::NotLeader { leader: None })
     }
 
     async fn read_document(self, _: Context) -> DocumentAnswer {
-        self.count("read_document");
-        match self.ask(|reply| ControlMessage::ReadRevision { reply }).await {
+        self.count_call("read_document");
+        match self.ask_control(|reply| ControlMessage::ReadRevision { reply }).await {
             Some(ReadAnswer::Current { revision }) => self.document_at(revision).await,
             Some(ReadAnswer::NotLeader { leader }) => DocumentAnswer::NotLeader { leader },
             None => DocumentAnswer::NotLeader { leader: None },
@@ -179,13 +182,13 @@
     }
 
     async fn fetch_state(self, _: Context) -> Option<Vec<u8>> {
-        self.count("fetch_state");
-        self.ask(|reply| ControlMessage::CopyState { reply }).await.flatten()
+        self.count_call("fetch_state");
+        self.ask_control(|reply| ControlMessage::CopyState { reply }).await.flatten()
     }
 
     async fn admit_voter(self, _: Context, id: u64, address: SocketAddr, zone: String) -> AdmitAnswer {
-        self.count("admit_voter");
-        match self.ask(|reply| ControlMessage::AdmitVoter { id, address, zone, reply }).await {
+        self.count_call("admit_voter");
+        match self.ask_control(|reply| ControlMessage::AdmitVoter { id, address, zone, reply }).await {
             Some(AdmitAnswer::NotLeader { leader: None }) | None => {
                 AdmitAnswer::NotLeader { leader: self.shared.leader_for_others() }
             }
@@ -194,44 +197,44 @@
     }
 
     async fn leader_elected(self, _: Context, leader: SocketAddr, term: u64) {
-        self.count("leader_elected");
+        self.count_call("leader_elected");
         self.shared.known_leader.announced(monotonic_ms(), leader, term);
     }
 
     async fn control_view(self, _: Context) -> ControlAnswer {
-        self.count("control_view");
-        let answer = self.ask(|reply| ControlMessage::View { reply }).await;
+        self.count_call("control_view");
+        let answer = self.ask_control(|reply| ControlMessage::View { reply }).await;
         answer.unwrap_or(ControlAnswer::NotLeader { leader: None })
     }
 
     async fn acquire(self, _: Context, request: AcquireRequest) -> AcquireReply {
-        self.count("acquire");
+        self.count_call("acquire");
         self.traffic.pools.acquire(request).await
     }
 
     async fn release(self, _: Context, slot_return: SlotReturn) {
-        self.count("release");
+        self.count_call("release");
         self.traffic.pools.release(slot_return);
     }
 
     async fn evidence(self, _: Context, reports: Vec<ReplicaEvidence>) -> u64 {
-        self.count("evidence");
+        self.count_call("evidence");
         self.traffic.pools.evidence(reports);
         monotonic_ms()
     }
 
     async fn held_slots(self, _: Context, entry: String, pool: String, slots: Vec<(u64, String)>) {
-        self.count("held_slots");
-        self.traffic.pools.entry_holds(&entry, &pool, slots);
+        self.count_call("held_slots");
+        self.traffic.pools.record_held_slots(&entry, &pool, slots);
     }
 
     async fn record_request(self, _: Context, record: RequestRecord) -> Option<RequestRecord> {
-        self.count("record_request");
+        self.count_call("record_request");
         self.traffic.records.store(record)
     }
 
     async fn read_request(self, _: Context, key: String) -> Option<RequestRecord> {
-        self.count("read_request");
+        self.count_call("read_request");
         self.traffic.records.read(&key)
     }
 }
--- a/crates/daemon/src/peer/targets.rs
+++ b/crates/daemon/src/peer/targets.rs
@@ -1,33 +1,33 @@
-//! Whom to ask for the control leader.
+//! Selects the daemons to call in the search for the control leader.
 
 use crate::shared::Shared;
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// Daemons that were named one after the other, and none of which led, before all members are asked in turn again: two
-/// that know an old leader each may name one another for ever.
-const FOLLOWED_IN_A_ROW: u32 = 3;
+/// Number of consecutive redirects to daemons that are not the leader, after which the members are called in turn
+/// again: otherwise two daemons with outdated information could redirect to each other forever.
+const MAX_CONSECUTIVE_REDIRECTS: u32 = 3;
 
-/// Whom to ask: a leader that has made itself known, else the one that was last heard of, else the members in turn.
+/// The daemons to call: a newly announced leader, else the last known leader, else the members in turn.
 pub struct Targets {
     hint: Option<SocketAddr>,
     position: usize,
-    followed: u32,
-    news: watch::Receiver<u64>,
+    redirects: u32,
+    announcements: watch::Receiver<u64>,
 }
 
 impl Targets {
-    /// Targets that begin with the leader that was last heard of.
+    /// Begins with the last known leader.
     pub fn new(shared: &Shared) -> Self {
         Targets {
             hint: shared.leader(),
             position: shared.incarnation as usize,
-            followed: 0,
-            news: shared.known_leader.watch(),
+            redirects: 0,
+            announcements: shared.known_leader.watch(),
         }
     }
 
-    /// Whom to ask next.
+    /// Returns the daemon to call next.
     pub fn next(&mut self, shared: &Shared) -> SocketAddr {
         if let Some(leader) = self.take_news(shared) {
             return leader;
@@ -35,44 +35,44 @@
         if let Some(hint) = self.hint.take() {
             return hint;
         }
-        self.followed = 0;
+        self.redirects = 0;
         let addresses = shared.control_addresses();
         let peers = &addresses.peers;
         self.position += 1;
         peers.get(self.position % peers.len().max(1)).copied().unwrap_or(shared.settings.peer)
     }
 
-    /// The leader that has been heard of since this was last asked.
+    /// Returns the leader if one was announced since the last call.
     pub fn take_news(&mut self, shared: &Shared) -> Option<SocketAddr> {
-        let has_news = self.news.has_changed().unwrap_or(false);
-        if !has_news {
+        let has_announcement = self.announcements.has_changed().unwrap_or(false);
+        if !has_announcement {
             return None;
         }
-        self.news.mark_unchanged();
-        self.followed = 0;
+        self.announcements.mark_unchanged();
+        self.redirects = 0;
         shared.leader()
     }
 
-    /// Notes a daemon that answered as the leader.
+    /// Records that a daemon responded as the leader.
     pub fn answered(&mut self, leader: SocketAddr) {
-        self.followed = 0;
+        self.redirects = 0;
         self.hint = Some(leader);
     }
 
-    /// Notes that `asked` doesn't lead, and whom it named as the leader.
+    /// Records that `asked` is not the leader, and which daemon it named as the leader.
     pub fn refused(&mut self, asked: SocketAddr, named: Option<SocketAddr>) {
-        let named = named.filter(|named| *named != asked && self.followed < FOLLOWED_IN_A_ROW);
-        self.followed += u32::from(named.is_some());
+        let named = named.filter(|named| *named != asked && self.redirects < MAX_CONSECUTIVE_REDIRECTS);
+        self.redirects += u32::from(named.is_some());
         self.hint = named;
     }
 
-    /// Notes that nobody answered.
+    /// Records that the daemon did not respond.
     pub fn failed(&mut self) {
         self.hint = None;
     }
 
-    /// Whether somebody is known to ask, so that there is no need to wait.
+    /// Returns whether a likely leader is known, so that the next call needs no pause.
     pub fn has_hint(&self) -> bool {
-        self.hint.is_some() || self.news.has_changed().unwrap_or(false)
+        self.hint.is_some() || self.announcements.has_changed().unwrap_or(false)
     }
 }
--- a/crates/daemon/src/peer/transport.rs
+++ b/crates/daemon/src/peer/transport.rs
@@ -1,5 +1,6 @@
-//! The transport between daemons: length-delimited frames over TCP, without Nagle's algorithm. Many calls share
-//! one connection and some are held back for long, so a frame must not wait for the answer to an earlier one.
+//! The transport between daemons: length-delimited frames over TCP, without Nagle's algorithm. Many calls share one
+//! connection and some are answered only after a long time, so that a frame must not wait for the response to an
+//! earlier one.
 
 use dockwood_api::peer::{MAX_FRAME_BYTES, PostcardCodec};
 use serde::{Deserialize, Serialize};
@@ -8,10 +9,10 @@
 use tarpc::tokio_util::codec::LengthDelimitedCodec;
 use tokio::net::TcpStream;
 
-/// A connection that carries `Out` one way and `In` the other.
+/// A connection that sends `Out` and receives `In`.
 pub type PeerTransport<In, Out> = Transport<TcpStream, In, Out, PostcardCodec<In, Out>>;
 
-/// Wraps a connected stream.
+/// Creates the transport on a connected stream.
 pub fn peer_transport<In, Out>(stream: TcpStream) -> io::Result<PeerTransport<In, Out>>
 where
     In: for<'de> Deserialize<'de>,
--- a/crates/daemon/src/traffic/chat/mod.rs
+++ b/crates/daemon/src/traffic/chat/mod.rs
@@ -1,8 +1,8 @@
-//! One chat request from arrival to its last token.
+//! Execution of a chat request, from its arrival to the last token.
 //!
-//! The entry holds the request, gets a slot, sends it to a replica itself, and forwards the tokens. A broken
-//! stream is resumed elsewhere from the first token that was not forwarded; a request that may not be run
-//! twice only after its engine has said what became of it.
+//! The entry acquires a slot, sends the request to the replica itself, and forwards the tokens. After a failure the
+//! stream is resumed at another replica from the first token that was not forwarded. An at-most-once request is resumed
+//! only after its engine has reported its state.
 
 mod admission;
 mod outcome;
@@ -18,48 +18,49 @@
 use dockwood_api::peer::KeptAnswer;
 use dockwood_routing::Millis;
 use dockwood_state::ClaimKey;
-use run::Run;
+use run::ChatRun;
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Expected answer length for fair shares, where the request names none.
+/// Answer length that is assumed for fair sharing if the request sets no maximum, and at most assumed otherwise, in
+/// tokens.
 const DEFAULT_ANSWER_TOKENS: u32 = 64;
-/// Bytes of prompt text in one token, about.
+/// Approximate number of bytes of prompt text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A checked chat request.
+/// A validated chat request.
 #[derive(Clone, Debug)]
 pub struct ChatJob {
-    /// Request id.
+    /// Request id, unique within the tenant.
     pub id: String,
-    /// Whether the id is the caller's, who may send it again.
-    pub keyed: bool,
-    /// Tenant.
+    /// Whether the caller provided the id, so that it may send the request again.
+    pub has_idempotency_key: bool,
+    /// Name of the tenant.
     pub tenant: String,
-    /// Its tier, for metrics.
+    /// Tier of the tenant, for metrics.
     pub tier: u8,
-    /// The model or adapter that was asked for.
+    /// Requested model or adapter.
     pub model: String,
-    /// Where it may go, best first.
+    /// Possible routes, in order of preference.
     pub routes: Vec<Route>,
-    /// Prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Bound of the answer.
+    /// Maximum length of the answer.
     pub max_tokens: Option<u32>,
-    /// Whether it may be run more than once.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Millis,
-    /// When the caller ceases to wait.
+    /// Time until which the caller waits.
     pub deadline: Millis,
-    /// Digest of the content.
+    /// Digest of the request body.
     pub content_digest: u64,
-    /// What the request is recognised by when it comes again, under whatever id.
+    /// Identifies the request when it is sent again, also under another id.
     pub fingerprint: Fingerprint,
 }
 
 impl ChatJob {
-    /// The id by which engines know the request: ids are unique within a tenant only.
+    /// Returns the request id for engines. It includes the tenant, because ids are unique only within a tenant.
     pub fn engine_id(&self) -> String {
         format!("{}.{}", self.tenant, self.id)
     }
@@ -78,90 +79,91 @@
     }
 }
 
-/// Why a request got no whole answer.
+/// Why a request has no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The numbered code.
+    /// Result code.
     pub code: ResultCode,
-    /// For people.
+    /// Human-readable description.
     pub message: String,
-    /// When to come back.
+    /// Time after which the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Failure {
-    /// A failure without a retry time.
+    /// Creates a failure without a retry-after time.
     pub fn new(code: ResultCode, message: impl Into<String>) -> Self {
         Failure { code, message: message.into(), retry_after_ms: None }
     }
 
-    /// A request for which there is no server.
+    /// Creates the failure of a request for which no server is available.
     pub fn unavailable(unavailable: Unavailable) -> Self {
         let Unavailable { code, retry_after_ms, .. } = unavailable;
         Failure { code, message: code.meaning().to_string(), retry_after_ms }
     }
 
-    /// The same for a request whose earlier sending may have run: the reason stays, "not run" does not.
-    pub fn of_resend(self) -> Self {
+    /// Converts the failure for a request of which an earlier send may have run: the reason is kept, but the code no
+    /// longer says "not run".
+    pub fn of_resent_request(self) -> Self {
         let message = format!("{}; an earlier sending of this request may have run", self.message);
         Failure { code: ResultCode::RanBefore, message, ..self }
     }
 }
 
-/// What the caller is told, in order.
+/// An event of the answer, in the order in which they are sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChatEvent {
-    /// More text.
+    /// The next piece of text.
     Text(String),
-    /// The answer is whole.
-    Finished(Finish),
-    /// The answer was kept from an earlier run of the same request.
+    /// The answer is complete.
+    Finished(CompletionStats),
+    /// The stored answer of an earlier run of the same request.
     Kept(KeptAnswer),
-    /// There will be no whole answer.
+    /// There is no complete answer.
     Failed(Failure),
 }
 
-/// Figures of a whole answer.
+/// Statistics of a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Finish {
-    /// Tokens of the prompt.
+pub struct CompletionStats {
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub answer_tokens: u32,
-    /// Milliseconds waited for slots.
+    /// Time spent waiting for slots, in milliseconds.
     pub queued_ms: u32,
-    /// The bound of the request ended the answer.
-    pub by_length: bool,
+    /// Whether the answer ended because it reached its maximum length.
+    pub reached_max_tokens: bool,
 }
 
-/// Runs a request to its end; every event goes to `events`. Returns the whole text, if there is one, for
-/// keeping.
+/// Runs a request to its end and sends its events to `events`. A complete answer is encoded by `encode_answer` and
+/// stored.
 pub async fn run_chat(
     traffic: Arc<Traffic>,
     job: ChatJob,
     events: mpsc::Sender<ChatEvent>,
-    keep_body: KeepBody,
+    encode_answer: AnswerEncoder,
 ) {
     traffic.count_request();
-    let mut run = Run::new(traffic, job, events);
-    if run.job.keyed
-        && let Some(event) = run.earlier_answer().await
+    let mut run = ChatRun::new(traffic, job, events);
+    if run.job.has_idempotency_key
+        && let Some(event) = run.find_earlier_result().await
     {
-        run.tell(event).await;
+        run.send_event(event).await;
         return;
     }
     let may_serve = run.job.routes.iter().any(|route| run.traffic.shared.may_dispatch(&route.pool));
-    let result = match run.traffic.closed(may_serve) {
+    let result = match run.traffic.new_request_failure(may_serve) {
         Some(failure) => Err(failure),
-        None => run.run().await,
+        None => run.run_to_end().await,
     };
-    let result = result.map_err(|failure| run.truthful(failure));
-    run.finish(result, keep_body).await;
+    let result = result.map_err(|failure| run.failure_to_report(failure));
+    run.finish(result, encode_answer).await;
 }
 
-/// Builds the body that is kept from the whole text.
-pub type KeepBody = fn(&ChatJob, &str, &Finish) -> KeptAnswer;
+/// Encodes a complete answer for storage.
+pub type AnswerEncoder = fn(&ChatJob, &str, &CompletionStats) -> KeptAnswer;
 
-fn unknown() -> Failure {
+fn outcome_unknown() -> Failure {
     Failure::new(ResultCode::OutcomeUnknown, "the engine that had the request can't tell what became of it")
 }
--- a/crates/daemon/src/traffic/chat/outcome.rs
+++ b/crates/daemon/src/traffic/chat/outcome.rs
@@ -1,8 +1,8 @@
-//! Claims, records and kept answers of a request: who may run it, and what is told of it afterwards.
+//! Claims, records and stored answers of a request: they decide which entry may run it, and what is reported later.
 
-use super::run::Run;
-use super::{ChatEvent, Failure, Finish, KeepBody, unknown};
-use crate::traffic::records::{find, keep, keep_before_dispatch};
+use super::run::ChatRun;
+use super::{AnswerEncoder, ChatEvent, CompletionStats, Failure, outcome_unknown};
+use crate::traffic::records::{find_record, store_at_holders, store_before_dispatch};
 use dockwood_api::ResultCode;
 use dockwood_api::caller::Outcome;
 use dockwood_api::peer::{KeptAnswer, RequestRecord};
@@ -10,13 +10,14 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Time between looks at a request that another entry runs.
-const OTHER_RUN_POLL: Duration = Duration::from_millis(200);
+/// Polling interval for a request that another entry runs.
+const OTHER_RUN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-impl Run {
-    /// What an earlier request of the same id left.
-    pub(super) async fn earlier_answer(&mut self) -> Option<ChatEvent> {
-        let lookup = find(&self.traffic, &self.job.record_key()).await;
+impl ChatRun {
+    /// Looks up the result of an earlier request with the same id. Returns the event to report; `None` if the request
+    /// has to be run.
+    pub(super) async fn find_earlier_result(&mut self) -> Option<ChatEvent> {
+        let lookup = find_record(&self.traffic, &self.job.record_key()).await;
         self.may_have_run_before = lookup.may_have_run();
         let record = lookup.record?;
         if record.content_digest != self.job.content_digest {
@@ -26,17 +27,17 @@
         match (record.outcome, record.answer) {
             (Outcome::Done, Some(answer)) => Some(ChatEvent::Kept(answer)),
             _ if self.job.repeatable => None,
-            // The claim decides: it is free if the other run was given up before it began.
+            // The claim decides: it is available if the other run was withdrawn before dispatch.
             (Outcome::Running, _) => self.claim().await.map(ChatEvent::Failed),
-            (Outcome::Unknown | Outcome::Done, _) => Some(ChatEvent::Failed(unknown())),
+            (Outcome::Unknown | Outcome::Done, _) => Some(ChatEvent::Failed(outcome_unknown())),
             (Outcome::NotRun, _) => None,
         }
     }
 
-    /// Commits the claim of a request that must not run twice and could be sent twice. A request whose id was
-    /// made here can't arrive anywhere else, so it needs none.
+    /// Commits the claim of an at-most-once request that may be sent twice. A request whose id was generated here can't
+    /// arrive at another entry, so that it needs no claim.
     pub(super) async fn claim(&mut self) -> Option<Failure> {
-        if self.job.repeatable || !self.job.keyed || self.claim_attempt.is_some() {
+        if self.job.repeatable || !self.job.has_idempotency_key || self.claim_attempt.is_some() {
             return None;
         }
         let attempt: u64 = rand::rng().random();
@@ -50,7 +51,7 @@
         match self.traffic.claims.claim(request).await {
             Ok(ClaimVerdict::Held) => {
                 self.claim_attempt = Some(attempt);
-                // No back end gets it without a claim, and nobody else holds one.
+                // It is sent to a back end only under a claim, and no other entry holds one.
                 self.may_have_run_before = false;
                 None
             }
@@ -62,47 +63,52 @@
                 Some(Failure::new(ResultCode::RequestIdTooOld, "the id is older than claims are kept"))
             }
             Err(error) => {
-                // It may have been committed all the same: withdrawn, so that a resend is not blocked.
+                // The claim may have been committed nevertheless: withdrawn, so that it does not block a resend.
                 self.traffic.claims.settle(self.job.claim_key(), attempt, None).await;
                 Some(Failure::new(ResultCode::ClaimRefused, error.message()))
             }
         }
     }
 
-    /// Another entry runs this request: its result is the answer.
+    /// Waits for the result of the same request at another entry, and reports it.
     async fn await_other_run(&mut self, settled: Option<u16>) -> Failure {
         let key = self.job.record_key();
-        while self.milliseconds_left() > 0 && !self.caller_gone {
-            match find(&self.traffic, &key).await.record {
+        while self.milliseconds_left() > 0 && !self.caller_disconnected {
+            match find_record(&self.traffic, &key).await.record {
                 Some(RequestRecord { outcome: Outcome::Done, answer: Some(answer), .. }) => {
-                    self.tell(ChatEvent::Kept(answer)).await;
-                    self.caller_gone = true;
+                    self.send_event(ChatEvent::Kept(answer)).await;
+                    self.caller_disconnected = true;
                     return Failure::new(ResultCode::AlreadyRunning, "answered from the other run");
                 }
-                Some(RequestRecord { outcome: Outcome::Unknown, .. }) => return unknown(),
+                Some(RequestRecord { outcome: Outcome::Unknown, .. }) => return outcome_unknown(),
                 Some(RequestRecord { outcome: Outcome::NotRun, .. }) => {
                     return Failure::new(
                         ResultCode::BackendUnreachable,
                         "the other entry did not run it; send it again",
                     );
                 }
-                None if settled.is_some() => return unknown(),
-                _ => tokio::time::sleep(OTHER_RUN_POLL).await,
+                None if settled.is_some() => return outcome_unknown(),
+                _ => tokio::time::sleep(OTHER_RUN_POLL_INTERVAL).await,
             }
         }
         Failure::new(ResultCode::AlreadyRunning, "a request of this id is running at another entry")
     }
 
     pub(super) async fn record_running(&mut self) {
-        if self.job.keyed {
+        if self.job.has_idempotency_key {
             self.is_recorded = true;
-            keep_before_dispatch(&self.traffic, self.record(Outcome::Running, None, None)).await;
+            store_before_dispatch(&self.traffic, self.record(Outcome::Running, None, None)).await;
         }
     }
 
-    /// What the caller may be told of a failure: that the request was not run only if no earlier sending of it was.
-    pub(super) fn truthful(&self, failure: Failure) -> Failure {
-        if self.may_have_run_before && failure.code.is_not_run() { failure.of_resend() } else { failure }
+    /// Returns the failure to report to the caller, which says "not run" only if no earlier send of the request may
+    /// have run.
+    pub(super) fn failure_to_report(&self, failure: Failure) -> Failure {
+        if self.may_have_run_before && failure.code.is_not_run() {
+            failure.of_resent_request()
+        } else {
+            failure
+        }
     }
 
     fn record(
@@ -121,27 +127,31 @@
         }
     }
 
-    /// Tells the caller the result, keeps it, and settles the claim.
-    pub(super) async fn finish(mut self, result: Result<Finish, Failure>, keep_body: KeepBody) {
+    /// Stores the result, settles the claim, and reports the result to the caller.
+    pub(super) async fn finish(
+        mut self,
+        result: Result<CompletionStats, Failure>,
+        encode_answer: AnswerEncoder,
+    ) {
         let (code, outcome, answer) = match &result {
-            Ok(figures) => (ResultCode::Ok, Outcome::Done, Some(keep_body(&self.job, &self.text, figures))),
+            Ok(stats) => (ResultCode::Ok, Outcome::Done, Some(encode_answer(&self.job, &self.text, stats))),
             Err(failure) if failure.code.is_not_run() => (failure.code, Outcome::NotRun, None),
             Err(failure) => (failure.code, Outcome::Unknown, None),
         };
         self.traffic.shared.metrics.answers.with_label_values(&[&code.number().to_string()]).inc();
         let was_dispatched = code == ResultCode::Ok || !code.is_not_run();
-        // Of a request that was refused before it was noted here, an earlier sending's record tells more.
-        let is_only_refused = code == ResultCode::RanBefore && !self.is_recorded;
-        let owns_record = self.claim_attempt.is_some() || (self.job.repeatable && !is_only_refused);
-        // Kept before the caller hears of the end, so that it can be asked for as soon as the caller can ask.
-        if owns_record || !self.job.keyed {
+        // If the request was refused before it was recorded here, the record of the earlier send is more accurate.
+        let was_refused_before_record = code == ResultCode::RanBefore && !self.is_recorded;
+        let owns_record = self.claim_attempt.is_some() || (self.job.repeatable && !was_refused_before_record);
+        // Stored before the caller receives the result, so that the caller can query it immediately.
+        if owns_record || !self.job.has_idempotency_key {
             let record = self.record(outcome, Some(code), answer);
             let traffic = self.traffic.clone();
-            let keeping = async move { keep(&traffic, record).await };
-            if self.job.keyed {
-                keeping.await;
+            let storing = async move { store_at_holders(&traffic, record).await };
+            if self.job.has_idempotency_key {
+                storing.await;
             } else {
-                tokio::spawn(keeping);
+                tokio::spawn(storing);
             }
         }
         if let Some(attempt) = self.claim_attempt {
@@ -149,8 +159,8 @@
             self.traffic.claims.settle(self.job.claim_key(), attempt, settled).await;
         }
         match result {
-            Ok(figures) => self.tell(ChatEvent::Finished(figures)).await,
-            Err(failure) => self.tell(ChatEvent::Failed(failure)).await,
+            Ok(stats) => self.send_event(ChatEvent::Finished(stats)).await,
+            Err(failure) => self.send_event(ChatEvent::Failed(failure)).await,
         }
     }
 }
--- a/crates/daemon/src/traffic/chat/run.rs
+++ b/crates/daemon/src/traffic/chat/run.rs
@@ -1,12 +1,12 @@
-//! The course of a request: a slot, an attempt, and another one elsewhere if need be.
+//! Execution of a request: acquires a slot, makes an attempt, and retries at another replica if necessary.
 
-use super::admission::gate_of;
-use super::stream::AttemptEnd;
-use super::{ChatEvent, ChatJob, Failure, Finish, unknown};
+use super::admission::create_gate;
+use super::stream::AttemptResult;
+use super::{ChatEvent, ChatJob, CompletionStats, Failure, outcome_unknown};
 use crate::clock::monotonic_ms;
 use crate::suspects::{SuspectGate, has_ended};
 use crate::traffic::Traffic;
-use crate::traffic::engine_stream::cancel;
+use crate::traffic::engine_stream::cancel_request;
 use crate::traffic::slots::HeldSlot;
 use dockwood_api::ResultCode;
 use dockwood_api::peer::AcquireRequest;
@@ -15,128 +15,128 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A caller that takes nothing for this long is gone.
-const SLOW_CALLER: Duration = Duration::from_secs(30);
+/// A caller that accepts no data for this long counts as disconnected.
+const CALLER_SEND_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A request in progress.
-pub(super) struct Run {
+pub(super) struct ChatRun {
     pub(super) traffic: Arc<Traffic>,
     pub(super) job: ChatJob,
     pub(super) events: mpsc::Sender<ChatEvent>,
-    pub(super) caller_gone: bool,
-    /// A back end may have acted on the request: from here on "not run" can't be said any more.
+    pub(super) caller_disconnected: bool,
+    /// Whether a back end may have run the request; if so, it can no longer be reported as not run.
     pub(super) dispatched: bool,
-    /// An earlier sending of the same request may have reached a back end.
+    /// Whether an earlier send of the same request may have reached a back end.
     pub(super) may_have_run_before: bool,
-    /// Its record says that it runs here.
+    /// Whether the request was recorded as running here.
     pub(super) is_recorded: bool,
-    pub(super) produced: u32,
+    pub(super) forwarded_tokens: u32,
     pub(super) text: String,
     pub(super) prompt_tokens: u32,
     pub(super) queued_ms: u32,
     pub(super) claim_attempt: Option<u64>,
-    pub(super) avoid: Vec<String>,
-    /// What decides whether the request may be sent to a replica.
+    pub(super) avoided_replicas: Vec<String>,
+    /// Decides whether the request may be sent to a replica, in case it crashes servers.
     pub(super) gate: SuspectGate,
 }
 
-impl Run {
-    /// A request that has just arrived.
+impl ChatRun {
+    /// Creates the state of a request that has just arrived.
     pub(super) fn new(traffic: Arc<Traffic>, job: ChatJob, events: mpsc::Sender<ChatEvent>) -> Self {
-        let gate = gate_of(&traffic, &job);
-        Run {
+        let gate = create_gate(&traffic, &job);
+        ChatRun {
             gate,
             traffic,
             job,
             events,
-            caller_gone: false,
+            caller_disconnected: false,
             dispatched: false,
             may_have_run_before: false,
             is_recorded: false,
-            produced: 0,
+            forwarded_tokens: 0,
             text: String::new(),
             prompt_tokens: 0,
             queued_ms: 0,
             claim_attempt: None,
-            avoid: Vec::new(),
+            avoided_replicas: Vec::new(),
         }
     }
 
-    pub(super) async fn tell(&mut self, event: ChatEvent) {
-        if self.caller_gone {
+    pub(super) async fn send_event(&mut self, event: ChatEvent) {
+        if self.caller_disconnected {
             return;
         }
-        let sent = self.events.send_timeout(event, SLOW_CALLER).await;
-        self.caller_gone = sent.is_err();
+        let sent = self.events.send_timeout(event, CALLER_SEND_TIMEOUT).await;
+        self.caller_disconnected = sent.is_err();
     }
 
-    /// Whether the run has a purpose without its caller.
-    pub(super) fn wanted_without_caller(&self) -> bool {
-        self.job.keyed || !self.job.repeatable
+    /// Returns whether the request continues after its caller has disconnected.
+    pub(super) fn continues_without_caller(&self) -> bool {
+        self.job.has_idempotency_key || !self.job.repeatable
     }
 
     pub(super) fn milliseconds_left(&self) -> Millis {
         self.job.deadline.saturating_sub(monotonic_ms())
     }
 
-    pub(super) async fn run(&mut self) -> Result<Finish, Failure> {
+    pub(super) async fn run_to_end(&mut self) -> Result<CompletionStats, Failure> {
         let mut last_reason = "";
         for attempt in 0_u32.. {
             if attempt > 0 && !self.traffic.try_retry(last_reason) {
-                return Err(self.exhausted("the retry budget is used up"));
+                return Err(self.final_failure("the retry budget is used up"));
             }
-            let mut slot = self.admitted_slot().await?;
+            let mut slot = self.acquire_admitted_slot().await?;
             self.queued_ms += slot.grant.queued_ms;
             if let Some(failure) = self.claim().await {
                 return Err(failure);
             }
-            let end = self.attempt(&mut slot).await;
-            if matches!(end, AttemptEnd::Broken) && has_ended(slot.grant.head).await {
+            let result = self.attempt(&mut slot).await;
+            if matches!(result, AttemptResult::Broken) && has_ended(slot.grant.head).await {
                 self.gate.server_ended();
             }
-            let end = match end {
-                AttemptEnd::Broken if self.job.repeatable => {
+            let result = match result {
+                AttemptResult::Broken if self.job.repeatable => {
                     slot.replica_broken = true;
-                    AttemptEnd::Movable("broken")
+                    AttemptResult::Retryable("broken")
                 }
-                AttemptEnd::Broken => {
+                AttemptResult::Broken => {
                     slot.replica_broken = true;
-                    self.resolve(&mut slot).await
+                    self.query_outcome(&mut slot).await
                 }
-                end => end,
+                result => result,
             };
-            self.avoid = vec![slot.grant.replica.clone()];
-            match end {
-                AttemptEnd::Finished => {
+            self.avoided_replicas = vec![slot.grant.replica.clone()];
+            match result {
+                AttemptResult::Finished => {
                     self.gate.answered();
-                    return Ok(self.figures());
+                    return Ok(self.completion_stats());
                 }
-                AttemptEnd::Movable(reason) => last_reason = reason,
-                AttemptEnd::CallerGone => {
-                    cancel(&self.traffic.http, slot.grant.head, &self.job.engine_id()).await;
+                AttemptResult::Retryable(reason) => last_reason = reason,
+                AttemptResult::CallerDisconnected => {
+                    cancel_request(&self.traffic.http, slot.grant.head, &self.job.engine_id()).await;
                     return Err(Failure::new(ResultCode::Interrupted, "the caller left"));
                 }
-                AttemptEnd::DeadlinePassed => {
-                    cancel(&self.traffic.http, slot.grant.head, &self.job.engine_id()).await;
+                AttemptResult::DeadlinePassed => {
+                    cancel_request(&self.traffic.http, slot.grant.head, &self.job.engine_id()).await;
                     return Err(Failure::new(ResultCode::DeadlinePassed, "the deadline passed while it ran"));
                 }
-                AttemptEnd::Unknown | AttemptEnd::Broken => return Err(unknown()),
+                AttemptResult::Unknown | AttemptResult::Broken => return Err(outcome_unknown()),
             }
         }
-        Err(unknown())
+        Err(outcome_unknown())
     }
 
-    pub(super) fn figures(&self) -> Finish {
-        Finish {
+    pub(super) fn completion_stats(&self) -> CompletionStats {
+        CompletionStats {
             prompt_tokens: self.prompt_tokens,
-            answer_tokens: self.produced,
+            answer_tokens: self.forwarded_tokens,
             queued_ms: self.queued_ms,
-            by_length: self.job.max_tokens.is_some_and(|bound| self.produced >= bound),
+            reached_max_tokens: self.job.max_tokens.is_some_and(|bound| self.forwarded_tokens >= bound),
         }
     }
 
-    /// The failure of a request that can't go on: not run if no back end has acted on it.
-    pub(super) fn exhausted(&self, message: &str) -> Failure {
+    /// Returns the failure of a request that can't be continued: "not run" if no back end may have run it.
+    pub(super) fn final_failure(&self, message: &str) -> Failure {
         let code = if self.dispatched { ResultCode::Interrupted } else { ResultCode::BackendUnreachable };
         Failure::new(code, message)
     }
@@ -150,7 +150,7 @@
             cost_tokens: self.job.cost_tokens(),
             prefix_blocks: prefix_blocks(&self.job.prompt),
             wait_ms: 0,
-            avoid: self.avoid.clone(),
+            avoid: self.avoided_replicas.clone(),
             pool,
         };
         let acquired = self.traffic.slots.acquire(request, self.job.deadline).await;
@@ -164,7 +164,7 @@
         })
     }
 
-    /// The pool to ask: the first route whose deployment still exists.
+    /// Returns the pool of the first route whose deployment still exists.
     pub(super) fn pool(&self) -> String {
         let tables = self.traffic.shared.tables();
         let routes = &self.job.routes;
--- a/crates/daemon/src/traffic/claims.rs
+++ b/crates/daemon/src/traffic/claims.rs
@@ -1,5 +1,5 @@
-//! Claims: commits, before dispatch, that this entry and nobody else runs a request. Claims that arrive
-//! together share one command.
+//! Claims: a commit in the log, before dispatch, that this entry and no other runs a request. Claims that arrive
+//! concurrently are batched into one command.
 
 use crate::peer::submit;
 use crate::shared::Shared;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Claims of one command, at most.
+/// Maximum number of claims in one command.
 const MAX_BATCH: usize = 256;
-/// Claims that may wait.
-const QUEUE: usize = 4_096;
-/// How long a claim may take before its request is refused.
-const CLAIM_LIMIT: Duration = Duration::from_secs(5);
-/// How long a settlement is tried.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-/// Batches on their way to the leader at once.
-const BATCHES_AT_ONCE: usize = 8;
+/// Capacity of the queues of claims and of settlements.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Time limit to commit a claim. After it, the request is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Total time for which a settlement is retried.
+const SETTLEMENT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of claim batches submitted to the leader concurrently.
+const MAX_CONCURRENT_BATCHES: usize = 8;
 
 struct PendingClaim {
     request: ClaimRequest,
@@ -34,23 +34,24 @@
 impl ClaimClient {
     /// Starts the background tasks on the current runtime.
     pub fn start(shared: Arc<Shared>) -> Self {
-        let (claims, claim_queue) = mpsc::channel(QUEUE);
-        let (settlements, settlement_queue) = mpsc::channel(QUEUE);
+        let (claims, claim_queue) = mpsc::channel(QUEUE_CAPACITY);
+        let (settlements, settlement_queue) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(send_claims(shared.clone(), claim_queue));
         tokio::spawn(send_settlements(shared, settlement_queue));
         ClaimClient { claims, settlements }
     }
 
-    /// Commits a claim, or learns who holds it.
+    /// Commits a claim, or returns the claim that another entry holds.
     pub async fn claim(&self, request: ClaimRequest) -> Result<ClaimVerdict, ApiError> {
-        let ended = || ApiError::new(ResultCode::ClaimRefused, "the daemon stops");
+        let stopped = || ApiError::new(ResultCode::ClaimRefused, "the daemon stops");
         let (reply, verdict) = oneshot::channel();
         let pending = PendingClaim { request, reply };
-        self.claims.send(pending).await.map_err(|_| ended())?;
-        verdict.await.map_err(|_| ended())?
+        self.claims.send(pending).await.map_err(|_| stopped())?;
+        verdict.await.map_err(|_| stopped())?
     }
 
-    /// Notes what became of a claimed request; `code` `None` withdraws the claim, as it was not run.
+    /// Records the result of a claimed request. Without a `code` the claim is withdrawn, because the request was not
+    /// run.
     pub async fn settle(&self, key: ClaimKey, attempt: u64, code: Option<ResultCode>) {
         let code = code.map(ResultCode::number);
         let _ = self.settlements.send(ClaimSettlement { key, attempt, code }).await;
@@ -58,7 +59,7 @@
 }
 
 async fn send_claims(shared: Arc<Shared>, mut queue: mpsc::Receiver<PendingClaim>) {
-    let permits = Arc::new(tokio::sync::Semaphore::new(BATCHES_AT_ONCE));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_BATCHES));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let mut batch = Vec::new();
@@ -75,19 +76,19 @@
 
 async fn send_batch(shared: &Shared, batch: Vec<PendingClaim>) {
     let requests = batch.iter().map(|pending| pending.request.clone()).collect();
-    let outcome = submit(shared, CommandBody::Claim(requests), CLAIM_LIMIT).await;
+    let outcome = submit(shared, CommandBody::Claim(requests), CLAIM_TIMEOUT).await;
     match outcome {
         Ok((_, Outcome::Claims(verdicts))) => {
             for (pending, verdict) in batch.into_iter().zip(verdicts) {
                 let _ = pending.reply.send(Ok(verdict));
             }
         }
-        Ok(_) => fail(batch, ApiError::new(ResultCode::ClaimRefused, "the log gave no verdict")),
-        Err(error) => fail(batch, ApiError::new(ResultCode::ClaimRefused, error.to_string())),
+        Ok(_) => fail_batch(batch, ApiError::new(ResultCode::ClaimRefused, "the log gave no verdict")),
+        Err(error) => fail_batch(batch, ApiError::new(ResultCode::ClaimRefused, error.to_string())),
     }
 }
 
-fn fail(batch: Vec<PendingClaim>, error: ApiError) {
+fn fail_batch(batch: Vec<PendingClaim>, error: ApiError) {
     for pending in batch {
         let _ = pending.reply.send(Err(error.clone()));
     }
@@ -99,8 +100,8 @@
         if queue.recv_many(&mut batch, MAX_BATCH).await == 0 {
             return;
         }
-        // A settlement that is lost leaves a claim standing, which errs on the safe side: the request is not
-        // run again, and its outcome is asked of the keepers of its record.
-        let _ = submit(&shared, CommandBody::SettleClaims(batch), SETTLE_LIMIT).await;
+        // If a settlement is lost, its claim stays open, which is safe: the request is not run again, and its outcome
+        // is read from the daemons that store its record.
+        let _ = submit(&shared, CommandBody::SettleClaims(batch), SETTLEMENT_TIMEOUT).await;
     }
 }
--- a/crates/daemon/src/traffic/engine_stream.rs
+++ b/crates/daemon/src/traffic/engine_stream.rs
@@ -1,4 +1,4 @@
-//! Talks to the head of a replica about one request.
+//! Client of the engine API at the head of a replica, for one request.
 
 use crate::own_dialect::OWN_SIGNALS;
 use crate::pushback::{SendPermit, signals_of};
@@ -10,41 +10,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a head may take to answer the first byte of a call.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest line of a stream; a longer one means that the stream is broken.
+/// Time limit for the response head of a call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum length of a line in a stream; a longer line is a protocol error.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Why a stream did not begin.
+/// Why a stream could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenFailure {
-    /// The head got no byte of it, or refused it: it was not run.
+    /// The head did not receive the request or refused it: it was not run.
     NotRun,
-    /// The head said that it did not run it, and goes on serving.
+    /// The head responded that it did not run the request, and remains available.
     Rejected,
-    /// It may have begun.
-    Unclear,
+    /// The request may have been run.
+    MayHaveRun,
 }
 
-/// What comes next on a stream.
+/// Result of reading from a stream.
 #[derive(Debug)]
-pub enum Next {
-    /// An event.
+pub enum StreamRead {
+    /// The next event.
     Event(GenerateEvent),
-    /// Nothing within the given time.
+    /// No event arrived within the time limit.
     Stalled,
-    /// The connection broke, or what came makes no sense.
+    /// The connection failed, or the data could not be decoded.
     Broken,
 }
 
-/// An open stream.
+/// An open stream of generated tokens.
 pub struct EngineStream {
     response: reqwest::Response,
     buffer: BytesMut,
 }
 
 impl EngineStream {
-    /// Sends the request.
+    /// Sends the request and opens its stream.
     pub async fn open(
         http: &reqwest::Client,
         head: SocketAddr,
@@ -52,10 +52,10 @@
         mut permit: SendPermit,
     ) -> Result<EngineStream, OpenFailure> {
         let sending = http.post(format!("http://{head}{PATH_GENERATE}")).json(request).send();
-        let response = match tokio::time::timeout(ANSWER_TIMEOUT, sending).await {
-            Err(_) => return Err(OpenFailure::Unclear),
+        let response = match tokio::time::timeout(RESPONSE_TIMEOUT, sending).await {
+            Err(_) => return Err(OpenFailure::MayHaveRun),
             Ok(Err(error)) if error.is_connect() => return Err(OpenFailure::NotRun),
-            Ok(Err(_)) => return Err(OpenFailure::Unclear),
+            Ok(Err(_)) => return Err(OpenFailure::MayHaveRun),
             Ok(Ok(response)) => response,
         };
         permit.record_response(&signals_of(response.status(), response.headers(), &OWN_SIGNALS), &request.id);
@@ -63,23 +63,23 @@
             _ if response.headers().contains_key(HEADER_NOT_RUN) => Err(OpenFailure::Rejected),
             StatusCode::OK => Ok(EngineStream { response, buffer: BytesMut::new() }),
             StatusCode::CONFLICT | StatusCode::GONE => Err(OpenFailure::NotRun),
-            _ => Err(OpenFailure::Unclear),
+            _ => Err(OpenFailure::MayHaveRun),
         }
     }
 
-    /// The next event, or what happened instead.
-    pub async fn next(&mut self, patience: Duration) -> Next {
+    /// Reads the next event.
+    pub async fn next(&mut self, timeout: Duration) -> StreamRead {
         loop {
             if let Some(line) = self.take_line() {
-                return serde_json::from_slice(&line).map_or(Next::Broken, Next::Event);
+                return serde_json::from_slice(&line).map_or(StreamRead::Broken, StreamRead::Event);
             }
             if self.buffer.len() > MAX_LINE_BYTES {
-                return Next::Broken;
+                return StreamRead::Broken;
             }
-            match tokio::time::timeout(patience, self.response.chunk()).await {
-                Err(_) => return Next::Stalled,
+            match tokio::time::timeout(timeout, self.response.chunk()).await {
+                Err(_) => return StreamRead::Stalled,
                 Ok(Ok(Some(bytes))) => self.buffer.extend_from_slice(&bytes),
-                Ok(Ok(None)) | Ok(Err(_)) => return Next::Broken,
+                Ok(Ok(None)) | Ok(Err(_)) => return StreamRead::Broken,
             }
         }
     }
@@ -92,22 +92,23 @@
     }
 }
 
-/// What the head knows of a request id; `None` if it does not answer.
+/// Returns the state of a request at the head; `None` if the head does not respond.
 pub async fn request_state(http: &reqwest::Client, head: SocketAddr, id: &str) -> Option<RequestState> {
     let url = format!("http://{head}{PATH_REQUESTS}/{id}");
-    let response = http.get(url).timeout(ANSWER_TIMEOUT).send().await.ok()?;
+    let response = http.get(url).timeout(RESPONSE_TIMEOUT).send().await.ok()?;
     response.error_for_status().ok()?.json().await.ok()
 }
 
-/// Has the head refuse a request id that it has not seen; `None` if it does not answer.
-pub async fn bar(http: &reqwest::Client, head: SocketAddr, id: &str) -> Option<RequestState> {
+/// Bars a request id that the head has not seen: the head will refuse it. Returns the resulting state of the request;
+/// `None` if the head does not respond.
+pub async fn bar_request(http: &reqwest::Client, head: SocketAddr, id: &str) -> Option<RequestState> {
     let url = format!("http://{head}{PATH_REQUESTS}/{id}/bar");
-    let response = http.post(url).timeout(ANSWER_TIMEOUT).send().await.ok()?;
+    let response = http.post(url).timeout(RESPONSE_TIMEOUT).send().await.ok()?;
     response.error_for_status().ok()?.json().await.ok()
 }
 
-/// Stops a request; best effort.
-pub async fn cancel(http: &reqwest::Client, head: SocketAddr, id: &str) {
+/// Cancels a request; best effort.
+pub async fn cancel_request(http: &reqwest::Client, head: SocketAddr, id: &str) {
     let url = format!("http://{head}{PATH_REQUESTS}/{id}");
-    let _ = http.delete(url).timeout(ANSWER_TIMEOUT).send().await;
+    let _ = http.delete(url).timeout(RESPONSE_TIMEOUT).send().await;
 }
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Traffic: what happens to callers' requests. Runs on its own threads and reads only published copies.
+//! Handling of callers' requests. Runs on its own threads and reads only published copies of the state.
 
 pub mod chat;
 pub mod claims;
@@ -15,19 +15,19 @@
 use dockwood_routing::RetryBudget;
 use std::sync::{Arc, Mutex};
 
-/// Everything that traffic threads use.
+/// State of the threads that handle requests.
 pub struct Traffic {
-    /// Shared state.
+    /// State shared by all parts of the daemon.
     pub shared: Arc<Shared>,
-    /// Pools that this daemon coordinates or stands by for.
-    pub pools: Arc<pools::PoolHosts>,
-    /// Slots that this entry holds.
+    /// Pools for which this daemon is the coordinator or the standby.
+    pub pools: Arc<pools::HostedPools>,
+    /// Slots held by this entry.
     pub slots: Arc<slots::SlotClient>,
-    /// Records of requests kept here.
+    /// Request records stored at this daemon.
     pub records: records::RecordStore,
-    /// Claims on requests that must not run twice.
+    /// Claims on requests that must run at most once.
     pub claims: claims::ClaimClient,
-    /// Plain services.
+    /// Server selection for plain services.
     pub services: services::ServiceRouter,
     /// HTTP client for engines and services.
     pub http: reqwest::Client,
@@ -35,17 +35,17 @@
 }
 
 impl Traffic {
-    /// Traffic state at the start of the process; starts its background tasks on the current runtime.
+    /// Creates the state and starts its background tasks on the current runtime.
     pub fn start(
         shared: Arc<Shared>,
         reporter: Arc<crate::probe::Reporter>,
         http: reqwest::Client,
     ) -> Arc<Traffic> {
-        let pools = Arc::new(pools::PoolHosts::new(shared.clone(), reporter));
+        let pools = Arc::new(pools::HostedPools::new(shared.clone(), reporter));
         tokio::spawn(pools.clone().follow_configuration());
         tokio::spawn(pools.clone().tick());
         let slots = Arc::new(slots::SlotClient::new(shared.clone(), pools.clone()));
-        tokio::spawn(slots.clone().show_held_slots());
+        tokio::spawn(slots.clone().report_held_slots());
         Arc::new(Traffic {
             claims: claims::ClaimClient::start(shared.clone()),
             records: records::RecordStore::default(),
@@ -58,20 +58,21 @@
         })
     }
 
-    /// Why this daemon takes no new work at all, if so. `may_serve` tells whether its configuration is sure to be in force.
-    fn closed(&self, may_serve: bool) -> Option<Failure> {
+    /// Returns why this daemon accepts no new requests; `None` if it accepts them. `may_serve` is whether its
+    /// configuration is certain to be in force.
+    fn new_request_failure(&self, may_serve: bool) -> Option<Failure> {
         if self.shared.is_leaving() {
             return Some(Failure::new(ResultCode::DaemonLeaving, "this daemon is leaving"));
         }
-        let lacks_lease = || Failure::new(ResultCode::NoLease, "this daemon holds no configuration lease");
-        (!may_serve).then(lacks_lease)
+        let no_lease = || Failure::new(ResultCode::NoLease, "this daemon holds no configuration lease");
+        (!may_serve).then(no_lease)
     }
 
     fn count_request(&self) {
         lock(&self.retry_budget).record_request();
     }
 
-    /// Counts a retry, if the budget allows one.
+    /// Takes a retry from the budget; returns whether the budget allowed it.
     fn try_retry(&self, reason: &str) -> bool {
         let allowed = lock(&self.retry_budget).try_retry();
         if allowed {
--- a/crates/daemon/src/traffic/pools.rs
+++ b/crates/daemon/src/traffic/pools.rs
@@ -1,7 +1,8 @@
-//! Pools that this daemon coordinates, or stands by for: the pure coordinator with its callers attached.
+//! Pools for which this daemon is the coordinator or the standby: runs the coordinator state machines and answers the
+//! calls of entries.
 //!
-//! A standby is configured and receives evidence like the coordinator, so that it can grant the moment an
-//! entry turns to it.
+//! A standby is configured and receives evidence like the coordinator, so that it can grant slots as soon as an entry
+//! fails over to it.
 
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
@@ -14,38 +15,38 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time between ticks of the coordinators.
-const TICK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between ticks of the coordinators.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
-struct HostState {
+struct PoolState {
     coordinator: Coordinator,
     config: PoolConfig,
-    calls: HashMap<Ticket, oneshot::Sender<AcquireReply>>,
+    waiting_calls: HashMap<Ticket, oneshot::Sender<AcquireReply>>,
     next_ticket: Ticket,
 }
 
-/// One pool.
-struct PoolHost {
-    state: Mutex<HostState>,
+/// A pool and its coordinator.
+struct HostedPool {
+    state: Mutex<PoolState>,
 }
 
-/// All pools of this daemon.
-pub struct PoolHosts {
+/// All pools hosted by this daemon.
+pub struct HostedPools {
     shared: Arc<Shared>,
     reporter: Arc<Reporter>,
-    hosts: Mutex<BTreeMap<String, Arc<PoolHost>>>,
+    hosts: Mutex<BTreeMap<String, Arc<HostedPool>>>,
 }
 
-/// Takes a waiting call back if its caller goes away.
-struct WaitingCall {
-    hosts: Arc<PoolHosts>,
-    host: Arc<PoolHost>,
+/// Cancels a waiting call if its caller disconnects.
+struct WaitingAcquire {
+    hosts: Arc<HostedPools>,
+    host: Arc<HostedPool>,
     ticket: Ticket,
     answered: bool,
 }
 
-impl Drop for WaitingCall {
+impl Drop for WaitingAcquire {
     fn drop(&mut self) {
         if !self.answered {
             self.hosts.step(&self.host, Input::Cancel { ticket: self.ticket });
@@ -53,27 +54,27 @@
     }
 }
 
-impl PoolHost {
-    fn state(&self) -> MutexGuard<'_, HostState> {
+impl HostedPool {
+    fn state(&self) -> MutexGuard<'_, PoolState> {
         lock(&self.state)
     }
 }
 
-impl PoolHosts {
-    /// No pools yet.
+impl HostedPools {
+    /// Creates the state, without pools.
     pub fn new(shared: Arc<Shared>, reporter: Arc<Reporter>) -> Self {
-        PoolHosts { shared, reporter, hosts: Mutex::default() }
+        HostedPools { shared, reporter, hosts: Mutex::default() }
     }
 
-    fn hosts(&self) -> MutexGuard<'_, BTreeMap<String, Arc<PoolHost>>> {
+    fn hosts(&self) -> MutexGuard<'_, BTreeMap<String, Arc<HostedPool>>> {
         lock(&self.hosts)
     }
 
-    fn host(&self, pool: &str) -> Option<Arc<PoolHost>> {
+    fn host(&self, pool: &str) -> Option<Arc<HostedPool>> {
         self.hosts().get(pool).cloned()
     }
 
-    /// Waits for a slot.
+    /// Acquires a slot; waits until the coordinator grants or refuses it.
     pub async fn acquire(self: &Arc<Self>, request: AcquireRequest) -> AcquireReply {
         let Some(host) = self.host(&request.pool) else { return AcquireReply::NotCoordinator };
         let (reply, answer) = oneshot::channel();
@@ -81,24 +82,24 @@
             let mut state = host.state();
             state.next_ticket += 1;
             let ticket = state.next_ticket;
-            state.calls.insert(ticket, reply);
+            state.waiting_calls.insert(ticket, reply);
             ticket
         };
-        let mut waiting = WaitingCall { hosts: self.clone(), host: host.clone(), ticket, answered: false };
+        let mut waiting = WaitingAcquire { hosts: self.clone(), host: host.clone(), ticket, answered: false };
         self.step(&host, Input::Acquire { ticket, request });
         let answer = answer.await.unwrap_or(AcquireReply::NotCoordinator);
         waiting.answered = true;
         answer
     }
 
-    /// Takes a slot back.
+    /// Releases a slot.
     pub fn release(&self, slot_return: SlotReturn) {
         if let Some(host) = self.host(&slot_return.pool) {
             self.step(&host, Input::Release(slot_return));
         }
     }
 
-    /// Takes a watcher's evidence.
+    /// Passes a watcher's evidence to the coordinators.
     pub fn evidence(&self, reports: Vec<ReplicaEvidence>) {
         for report in reports {
             if let Some(host) = self.host(&report.pool) {
@@ -107,46 +108,47 @@
         }
     }
 
-    /// Takes an entry's word on the slots it holds.
-    pub fn entry_holds(&self, entry: &str, pool: &str, slots: Vec<(u64, String)>) {
+    /// Passes an entry's report of the slots that it holds to the coordinator.
+    pub fn record_held_slots(&self, entry: &str, pool: &str, slots: Vec<(u64, String)>) {
         if let Some(host) = self.host(pool) {
             self.step(&host, Input::EntryHolds { entry: entry.to_string(), slots });
         }
     }
 
-    /// Gives a coordinator an input and answers the calls that it decides on.
-    fn step(&self, host: &PoolHost, input: Input) {
+    /// Passes an input to a coordinator and answers the calls that it decides.
+    fn step(&self, host: &HostedPool, input: Input) {
         let now = monotonic_ms();
         let mut state = host.state();
         if let Input::Cancel { ticket } = &input {
-            state.calls.remove(ticket);
+            state.waiting_calls.remove(ticket);
         }
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for output in state.coordinator.step(now, input) {
-                if let Some(follow_up) = self.carry_out(&mut state, output) {
+                if let Some(follow_up) = self.apply_output(&mut state, output) {
                     inputs.push(follow_up);
                 }
             }
         }
     }
 
-    fn carry_out(&self, state: &mut HostState, output: Output) -> Option<Input> {
+    fn apply_output(&self, state: &mut PoolState, output: Output) -> Option<Input> {
         match output {
             Output::Granted(ticket, grant) => {
                 let slot = grant.slot;
-                let reply = state.calls.remove(&ticket);
-                let taken = reply.is_some_and(|reply| reply.send(AcquireReply::Granted(grant)).is_ok());
-                if taken {
+                let reply = state.waiting_calls.remove(&ticket);
+                let is_delivered =
+                    reply.is_some_and(|reply| reply.send(AcquireReply::Granted(grant)).is_ok());
+                if is_delivered {
                     return None;
                 }
-                // Whoever asked is gone: the slot was never used.
+                // The caller has disconnected: the slot was never used.
                 let pool = String::new();
                 let unused = SlotReturn { pool, slot, replica_broken: false };
                 Some(Input::Release(unused))
             }
             Output::Refused(ticket, refusal) => {
-                if let Some(reply) = state.calls.remove(&ticket) {
+                if let Some(reply) = state.waiting_calls.remove(&ticket) {
                     let _ = reply.send(AcquireReply::Refused(refusal));
                 }
                 None
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Keeps the set of pools and their configuration in step with what is published.
+    /// Updates the set of pools and their configuration after each publication, until the process ends.
     pub async fn follow_configuration(self: Arc<Self>) {
         let mut publications = self.shared.watch_publications();
         loop {
@@ -171,25 +173,26 @@
 
     fn configure(&self) {
         let published = self.shared.published();
-        let own = Some(&self.shared.settings.name);
+        let own_name = Some(&self.shared.settings.name);
         let mut wanted = BTreeMap::new();
         for (pool, row) in &published.tables.pools {
-            let mine = row.coordinator.as_ref() == own || row.standby.as_ref() == own;
-            if let Some(spec) = published.tables.deployment(pool).filter(|_| mine) {
+            let is_hosted = row.coordinator.as_ref() == own_name || row.standby.as_ref() == own_name;
+            if let Some(spec) = published.tables.deployment(pool).filter(|_| is_hosted) {
                 wanted.insert(pool.clone(), published.pool_config(pool, spec));
             }
         }
         self.hosts().retain(|pool, host| {
-            let kept = wanted.contains_key(pool);
-            if !kept {
-                // Dropping the waiting calls sends their entries to the new coordinator.
-                host.state().calls.clear();
+            let is_wanted = wanted.contains_key(pool);
+            if !is_wanted {
+                // Dropping the waiting calls answers them with `NotCoordinator`, so that their entries ask the new
+                // coordinator.
+                host.state().waiting_calls.clear();
             }
-            kept
+            is_wanted
         });
         for (pool, config) in wanted {
-            let fresh = || Arc::new(PoolHost { state: Mutex::default() });
-            let host = self.hosts().entry(pool).or_insert_with(fresh).clone();
+            let new_host = || Arc::new(HostedPool { state: Mutex::default() });
+            let host = self.hosts().entry(pool).or_insert_with(new_host).clone();
             let changed = host.state().config != config;
             if changed {
                 host.state().config = config.clone();
@@ -198,22 +201,22 @@
         }
     }
 
-    /// Lets time pass for all pools, for ever.
+    /// Sends ticks to all coordinators and updates their metrics, until the process ends.
     pub async fn tick(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(TICK_EVERY);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let hosts: Vec<(String, Arc<PoolHost>)> =
+            let hosts: Vec<(String, Arc<HostedPool>)> =
                 self.hosts().iter().map(|(pool, host)| (pool.clone(), host.clone())).collect();
             for (pool, host) in hosts {
                 self.step(&host, Input::Tick);
-                self.show(&pool, &host);
+                self.update_metrics(&pool, &host);
             }
         }
     }
 
-    fn show(&self, pool: &str, host: &PoolHost) {
+    fn update_metrics(&self, pool: &str, host: &HostedPool) {
         let snapshot = host.state().coordinator.snapshot(monotonic_ms());
         let metrics = &self.shared.metrics;
         for tier in 0..8_u8 {
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -1,4 +1,4 @@
-//! Plain services: calls go straight to one of the servers, streamed in both directions.
+//! Plain services: forwards calls to one of the servers, streamed in both directions.
 
 use super::chat::Failure;
 use super::{Traffic, records};
@@ -23,14 +23,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Attempts at one repeatable call, at most.
+/// Maximum number of attempts for a repeatable call.
 const MAX_ATTEMPTS: u32 = 3;
-/// How long a server may take to answer the head of a response.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// When to come back if every server is at its limit, in milliseconds.
-const BUSY_RETRY_MS: u64 = 200;
+/// Time limit for the response head of a server.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Retry-after time if all servers are at their limits, in milliseconds.
+const BUSY_RETRY_AFTER_MS: u64 = 200;
 
-/// Pickers by service.
+/// Server selection by service.
 #[derive(Debug, Default)]
 pub struct ServiceRouter {
     pickers: Mutex<HashMap<String, BackendPicker>>,
@@ -40,51 +40,51 @@
 pub struct ServiceCall {
     /// Service name.
     pub service: String,
-    /// Its spec.
+    /// Service specification.
     pub spec: ServiceSpec,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query at the server.
+    /// Path and query to request from the server.
     pub path: String,
-    /// Headers, without those of the connection.
+    /// Headers, without connection-specific ones.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: ServiceBody,
-    /// Whether it may be run more than once.
+    /// Whether the call may be run more than once.
     pub repeatable: bool,
-    /// What it is recognised by when it comes again; absent where its body is not held whole.
-    pub tried: Option<SuspectAttempt>,
-    /// Under which its sendings are noted, if the caller named an id and may send it again.
+    /// Identifies the call when it is sent again, in case it crashes servers; `None` if its body is not buffered.
+    pub suspect_attempt: Option<SuspectAttempt>,
+    /// Key of the record of its dispatch, if the caller sent an idempotency key and may send the call again.
     pub record_key: Option<String>,
 }
 
-/// A body that is whole, and can be sent again, or one that is still arriving.
+/// A request body: buffered, so that it can be sent again, or still being received.
 pub enum ServiceBody {
-    /// All of it.
-    Whole(Bytes),
-    /// To be passed on as it arrives; it can be sent once only.
+    /// The complete body.
+    Buffered(Bytes),
+    /// Forwarded while it is received; can be sent only once.
     Streamed(reqwest::Body),
 }
 
 impl ServiceBody {
-    /// The body to send, and one for another attempt if there may be one.
-    fn for_sending(self) -> (reqwest::Body, Option<ServiceBody>) {
+    /// Returns the body to send, and a copy for another attempt if it is buffered.
+    fn into_send_body(self) -> (reqwest::Body, Option<ServiceBody>) {
         match self {
-            ServiceBody::Whole(bytes) => {
-                (reqwest::Body::from(bytes.clone()), Some(ServiceBody::Whole(bytes)))
+            ServiceBody::Buffered(bytes) => {
+                (reqwest::Body::from(bytes.clone()), Some(ServiceBody::Buffered(bytes)))
             }
             ServiceBody::Streamed(stream) => (stream, None),
         }
     }
 }
 
-/// Counts a call for as long as its answer is streamed.
+/// Counts a call as in flight until its response body ends.
 pub struct CallGuard {
     traffic: Arc<Traffic>,
     service: String,
     server: String,
     servers: usize,
-    /// What became of the call; `None` while the server has had none.
+    /// Result of the call; `None` while no call has been sent to the server.
     result: Option<CallResult>,
 }
 
@@ -93,7 +93,7 @@
         let now = monotonic_ms();
         let mut pickers = self.traffic.services.pickers();
         if let Some(picker) = pickers.get_mut(&self.service) {
-            // A server that had no call has failed none.
+            // A server that received no call has not failed one.
             picker.finished(now, &self.server, self.result.unwrap_or(CallResult::Answered), self.servers);
         }
         let Some(result) = self.result else { return };
@@ -108,37 +108,37 @@
     }
 }
 
-/// An answer, with what must live until its body has ended.
-pub struct Answer {
-    /// Head and body.
+/// A response, with the guards that must live until the end of its body.
+pub struct ServiceResponse {
+    /// Response head and body.
     pub response: reqwest::Response,
-    /// What it tells of the call once it is whole.
+    /// Receives the evidence that the call crashed no server, once the response is complete.
     pub gate: Option<SuspectGate>,
     _guard: CallGuard,
 }
 
-/// Forwards a call. A failure says "not run" only if no server has had the call, in this sending or an earlier one.
-pub async fn forward(traffic: &Arc<Traffic>, call: ServiceCall) -> Result<Answer, Failure> {
+/// Forwards a call. A failure says "not run" only if neither this nor an earlier send of the call reached a server.
+pub async fn forward(traffic: &Arc<Traffic>, call: ServiceCall) -> Result<ServiceResponse, Failure> {
     traffic.count_request();
-    let mut sendings = Sendings { traffic, key: call.record_key.clone(), noted: None };
-    if let Some(failure) = traffic.closed(traffic.shared.holds_lease()) {
-        return Err(sendings.truthful(failure).await);
+    let mut send_history = SendHistory { traffic, key: call.record_key.clone(), earlier_may_have_run: None };
+    if let Some(failure) = traffic.new_request_failure(traffic.shared.holds_lease()) {
+        return Err(send_history.failure_to_report(failure).await);
     }
-    match try_servers(traffic, call, &mut sendings).await {
+    match try_servers(traffic, call, &mut send_history).await {
         Ok(answer) => Ok(answer),
-        Err(failure) => Err(sendings.truthful(failure).await),
+        Err(failure) => Err(send_history.failure_to_report(failure).await),
     }
 }
 
-/// What is known of a call's sendings to servers, by this daemon and by others that the caller sent it to before.
-struct Sendings<'a> {
+/// Whether a call may have been sent to servers before, by this daemon or by others that the caller sent it to.
+struct SendHistory<'a> {
     traffic: &'a Arc<Traffic>,
     key: Option<String>,
-    /// Whether an earlier sending may have run, learnt when this one was noted.
-    noted: Option<bool>,
+    /// Whether an earlier send may have run, known once this send is recorded.
+    earlier_may_have_run: Option<bool>,
 }
 
-impl Sendings<'_> {
+impl SendHistory<'_> {
     fn record(&self, key: &str, outcome: Outcome) -> RequestRecord {
         RequestRecord {
             key: key.to_string(),
@@ -150,75 +150,78 @@
         }
     }
 
-    /// Notes, once, that a server is about to have the call. What comes of it is not noted: the answer is not kept.
-    async fn note(&mut self) {
-        let Some(key) = self.key.as_ref().filter(|_| self.noted.is_none()) else { return };
+    /// Records, once, that the call is about to be sent to a server. Its outcome is not recorded, because the response
+    /// is not stored.
+    async fn record_send(&mut self) {
+        let Some(key) = self.key.as_ref().filter(|_| self.earlier_may_have_run.is_none()) else { return };
         let record = self.record(key, Outcome::Unknown);
-        let before = records::keep_before_dispatch(self.traffic, record).await;
-        self.noted = Some(before.as_ref().is_some_and(records::may_have_run));
+        let before = records::store_before_dispatch(self.traffic, record).await;
+        self.earlier_may_have_run = Some(before.as_ref().is_some_and(records::may_have_run));
     }
 
-    /// The failure that the caller may be told.
-    async fn truthful(&self, failure: Failure) -> Failure {
+    /// Returns the failure to report to the caller, which says "not run" only if no send may have run.
+    async fn failure_to_report(&self, failure: Failure) -> Failure {
         let Some(key) = self.key.as_ref().filter(|_| failure.code.is_not_run()) else { return failure };
-        let may_have_run = match self.noted {
+        let may_have_run = match self.earlier_may_have_run {
             Some(may_have_run) => may_have_run,
-            None => records::find(self.traffic, key).await.may_have_run(),
+            None => records::find_record(self.traffic, key).await.may_have_run(),
         };
         if may_have_run {
-            return failure.of_resend();
+            return failure.of_resent_request();
         }
-        if self.noted.is_some() {
-            records::keep(self.traffic, self.record(key, Outcome::NotRun)).await;
+        if self.earlier_may_have_run.is_some() {
+            records::store_at_holders(self.traffic, self.record(key, Outcome::NotRun)).await;
         }
         failure
     }
 }
 
-/// How one attempt at a server ended without an answer.
-enum AttemptEnd {
-    /// The server could not be reached: it has not had the call.
+/// Why an attempt yielded no response to return.
+enum AttemptFailure {
+    /// The server could not be reached: it did not receive the call.
     NotSent,
-    /// The server said that it did not run the call; its answer is passed on if no other server takes the call.
-    Rejected(Box<Answered>),
-    /// The server may have had the call.
-    Unclear,
+    /// The server responded that it did not run the call. Its response is returned if no other server accepts the call.
+    Rejected(Box<ResponseWithGuard>),
+    /// The server may have run the call.
+    MayHaveRun,
 }
 
-/// The head of a server's answer.
-type Answered = (reqwest::Response, CallGuard);
+/// A response whose body is still being received.
+type ResponseWithGuard = (reqwest::Response, CallGuard);
 
 async fn try_servers(
     traffic: &Arc<Traffic>,
     call: ServiceCall,
-    sendings: &mut Sendings<'_>,
-) -> Result<Answer, Failure> {
-    let ServiceCall { service, spec, method, path, headers, body, repeatable, tried, record_key } = call;
-    let deadline = Instant::now() + HEAD_TIMEOUT;
-    let mut gate = tried.map(|tried| SuspectGate::new(&traffic.shared, tried, deadline));
+    send_history: &mut SendHistory<'_>,
+) -> Result<ServiceResponse, Failure> {
+    let ServiceCall { service, spec, method, path, headers, body, repeatable, suspect_attempt, record_key } =
+        call;
+    let deadline = Instant::now() + RESPONSE_HEAD_TIMEOUT;
+    let mut gate =
+        suspect_attempt.map(|suspect_attempt| SuspectGate::new(&traffic.shared, suspect_attempt, deadline));
     let request_id = record_key.unwrap_or_default();
     let mut body = Some(body);
     let mut may_have_run = false;
     for attempt in 0..MAX_ATTEMPTS {
-        let (server, guard) = admitted_server(traffic, &service, &spec, &mut gate, may_have_run).await?;
-        let Some((sent, spare)) = body.take().map(ServiceBody::for_sending) else { break };
-        body = spare;
-        sendings.note().await;
+        let (server, guard) = pick_admitted_server(traffic, &service, &spec, &mut gate, may_have_run).await?;
+        let Some((sent, retry_body)) = body.take().map(ServiceBody::into_send_body) else { break };
+        body = retry_body;
+        send_history.record_send().await;
         let request = traffic.http.request(method.clone(), format!("http://{}{path}", server.address));
         let sending = request.headers(headers.clone()).body(sent);
-        let permit = SendPermit::acquire(&traffic.shared, addressee(&server, &spec), CALL).await;
-        let end = match permit {
+        let permit = SendPermit::acquire(&traffic.shared, send_target(&server, &spec), CALL_PURPOSE).await;
+        let result = match permit {
             Ok(permit) if gate.as_ref().is_none_or(SuspectGate::may_write) => {
-                send(sending, guard, permit, &request_id).await
+                send_call(sending, guard, permit, &request_id).await
             }
-            _ => Err(AttemptEnd::NotSent),
+            _ => Err(AttemptFailure::NotSent),
         };
         let mut rejection = None;
-        match end {
-            Ok((response, guard)) => return Ok(Answer { response, gate, _guard: guard }),
-            Err(AttemptEnd::NotSent) => {}
-            Err(AttemptEnd::Rejected(answered)) => rejection = Some(answered),
-            Err(AttemptEnd::Unclear) => {
+        match result {
+            Ok((response, guard)) => return Ok(ServiceResponse { response, gate, _guard: guard }),
+            Err(AttemptFailure::NotSent) => {}
+            Err(AttemptFailure::Rejected(rejected_response)) => rejection = Some(rejected_response),
+            Err(AttemptFailure::MayHaveRun) => {
                 may_have_run = true;
                 if has_ended(server.address).await {
                     gate.iter_mut().for_each(SuspectGate::server_ended);
@@ -228,8 +231,8 @@
         let may_retry = !may_have_run || repeatable;
         let is_last = attempt + 1 == MAX_ATTEMPTS;
         if !may_retry || is_last || body.is_none() || !traffic.try_retry("service") {
-            if let Some((response, guard)) = rejection.map(|answered| *answered) {
-                return Ok(Answer { response, gate, _guard: guard });
+            if let Some((response, guard)) = rejection.map(|rejected_response| *rejected_response) {
+                return Ok(ServiceResponse { response, gate, _guard: guard });
             }
             break;
         }
@@ -237,28 +240,28 @@
     Err(if may_have_run { outcome_unknown() } else { unreachable() })
 }
 
-/// Calls have no ranks among each other.
-const CALL: SendPurpose = SendPurpose::Request { rank: 0 };
+/// All calls have the same priority.
+const CALL_PURPOSE: SendPurpose = SendPurpose::Request { rank: 0 };
 
-/// A server as what is sent to it is answered for.
-fn addressee(server: &ServiceServer, spec: &ServiceSpec) -> SendTarget {
+/// Returns the target that pushback signals of a server apply to.
+fn send_target(server: &ServiceServer, spec: &ServiceSpec) -> SendTarget {
     SendTarget::named(&server.name, spec.slots_per_server)
 }
 
-/// A server to which the call may be sent, or why there is none. Its guard is held while the gate is
-/// asked: the caller may leave meanwhile.
-async fn admitted_server(
+/// Picks a server to which the call may be sent. The guard of the server is held while the gate decides, because the
+/// caller may disconnect in the meantime.
+async fn pick_admitted_server(
     traffic: &Arc<Traffic>,
     service: &str,
     spec: &ServiceSpec,
     gate: &mut Option<SuspectGate>,
     may_have_run: bool,
 ) -> Result<(ServiceServer, CallGuard), Failure> {
-    let truthful = |failure: Failure| {
+    let hide_not_run = |failure: Failure| {
         if may_have_run && failure.code.is_not_run() { outcome_unknown() } else { failure }
     };
-    let refused = |code: ResultCode| truthful(Failure::new(code, code.meaning()));
-    let pick = || guarded_pick(traffic, service, spec).map_err(truthful);
+    let refused = |code: ResultCode| hide_not_run(Failure::new(code, code.meaning()));
+    let pick = || pick_and_count(traffic, service, spec).map_err(hide_not_run);
     let Some(gate) = gate else { return pick() };
     loop {
         let is_suspect = gate.is_suspect().await.map_err(refused)?;
@@ -277,13 +280,13 @@
     }
 }
 
-/// Picks a server, and counts the call from now on.
-fn guarded_pick(
+/// Picks a server and counts the call as in flight from now on.
+fn pick_and_count(
     traffic: &Arc<Traffic>,
     service: &str,
     spec: &ServiceSpec,
 ) -> Result<(ServiceServer, CallGuard), Failure> {
-    let server = pick(traffic, service, spec)?;
+    let server = pick_server(traffic, service, spec)?;
     let guard = CallGuard {
         traffic: traffic.clone(),
         service: service.to_string(),
@@ -294,14 +297,14 @@
     Ok((server, guard))
 }
 
-async fn send(
+async fn send_call(
     request: reqwest::RequestBuilder,
     mut guard: CallGuard,
     mut permit: SendPermit,
     request_id: &str,
-) -> Result<Answered, AttemptEnd> {
+) -> Result<ResponseWithGuard, AttemptFailure> {
     guard.result = Some(CallResult::Failed);
-    match tokio::time::timeout(HEAD_TIMEOUT, request.send()).await {
+    match tokio::time::timeout(RESPONSE_HEAD_TIMEOUT, request.send()).await {
         Ok(Ok(response)) => {
             permit.record_response(
                 &signals_of(response.status(), response.headers(), &OWN_SIGNALS),
@@ -309,15 +312,15 @@
             );
             if response.headers().contains_key(HEADER_NOT_RUN) {
                 guard.result = Some(CallResult::Answered);
-                return Err(AttemptEnd::Rejected(Box::new((response, guard))));
+                return Err(AttemptFailure::Rejected(Box::new((response, guard))));
             }
             if response.status() != StatusCode::SERVICE_UNAVAILABLE {
                 guard.result = Some(CallResult::Answered);
             }
             Ok((response, guard))
         }
-        Ok(Err(error)) if error.is_connect() => Err(AttemptEnd::NotSent),
-        _ => Err(AttemptEnd::Unclear),
+        Ok(Err(error)) if error.is_connect() => Err(AttemptFailure::NotSent),
+        _ => Err(AttemptFailure::MayHaveRun),
     }
 }
 
@@ -329,10 +332,10 @@
     Failure::new(ResultCode::OutcomeUnknown, "the server did not answer; the call may have been run")
 }
 
-fn pick(traffic: &Traffic, service: &str, spec: &ServiceSpec) -> Result<ServiceServer, Failure> {
+fn pick_server(traffic: &Traffic, service: &str, spec: &ServiceSpec) -> Result<ServiceServer, Failure> {
     let declared: Vec<&str> = spec.servers.iter().map(|server| server.name.as_str()).collect();
-    let stays = spec.servers.iter().filter(|server| !server.drain);
-    let (open, held) = traffic.shared.pushback.split(stays, |server| addressee(server, spec).start);
+    let not_draining = spec.servers.iter().filter(|server| !server.drain);
+    let (open, held) = traffic.shared.pushback.split(not_draining, |server| send_target(server, spec).start);
     if open.is_empty() && !held.is_empty() {
         return Err(Failure::unavailable(held.refused()));
     }
@@ -341,14 +344,15 @@
     let mut pickers = traffic.services.pickers();
     let picker = pickers.entry(service.to_string()).or_default();
     picker.retain(&declared);
-    let name = picker.pick(monotonic_ms(), &eligible, spec.slots_per_server, random).ok_or_else(all_busy)?;
-    spec.servers.iter().find(|server| server.name == name).cloned().ok_or_else(all_busy)
+    let name =
+        picker.pick(monotonic_ms(), &eligible, spec.slots_per_server, random).ok_or_else(all_servers_busy)?;
+    spec.servers.iter().find(|server| server.name == name).cloned().ok_or_else(all_servers_busy)
 }
 
-fn all_busy() -> Failure {
+fn all_servers_busy() -> Failure {
     Failure {
         code: ResultCode::QueueFull,
         message: "every server of the service is at its limit".to_string(),
-        retry_after_ms: Some(BUSY_RETRY_MS),
+        retry_after_ms: Some(BUSY_RETRY_AFTER_MS),
     }
 }
--- a/crates/daemon/src/traffic/slots.rs
+++ b/crates/daemon/src/traffic/slots.rs
@@ -1,6 +1,6 @@
-//! The entry's side of admission: asks coordinators for slots, holds them, and shows what it holds.
+//! Admission on the entry side: acquires slots from coordinators, holds them, and reports the held slots.
 
-use super::pools::PoolHosts;
+use super::pools::HostedPools;
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
 use crate::shared::Shared;
@@ -13,16 +13,16 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Time between two showings of held slots, which tell a dead or paused coordinator too.
-const SHOW_EVERY: Duration = Duration::from_millis(400);
-/// A coordinator that does not take a showing within this time is passed over.
-const SHOW_TIMEOUT: Duration = Duration::from_millis(400);
-/// For how long a coordinator that failed is passed over in favour of its standby.
-const SUSPECT_MS: Millis = 2_000;
-/// Pause while no daemon coordinates a pool.
-const NO_COORDINATOR_PAUSE: Duration = Duration::from_millis(50);
-/// Added to a call's limit beyond the wait that it names.
-const CALL_MARGIN: Duration = Duration::from_millis(500);
+/// Interval between reports of held slots. A report that fails also reveals a crashed or suspended coordinator.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
+/// Time limit for a report. A coordinator that does not respond within it counts as unresponsive.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
+/// For how long an unresponsive coordinator is skipped in favour of its standby, in milliseconds.
+const UNRESPONSIVE_MS: Millis = 2_000;
+/// Pause between attempts while a pool has no coordinator.
+const NO_COORDINATOR_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Added to the requested wait to obtain the time limit of a call.
+const CALL_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
 struct PoolSlots {
@@ -30,30 +30,30 @@
     waiting: usize,
 }
 
-/// Slots of this entry.
+/// Slots held by this entry, by pool.
 pub struct SlotClient {
     shared: Arc<Shared>,
-    hosts: Arc<PoolHosts>,
+    hosted_pools: Arc<HostedPools>,
     pools: Mutex<BTreeMap<String, PoolSlots>>,
-    suspects: watch::Sender<HashMap<String, Millis>>,
+    unresponsive_until: watch::Sender<HashMap<String, Millis>>,
 }
 
-/// A slot in hand; it goes back when this is dropped.
+/// A held slot, returned to the coordinator on drop.
 pub struct HeldSlot {
     client: Arc<SlotClient>,
     pool: String,
     granted_by: String,
     received_at: Millis,
-    /// The grant.
+    /// The coordinator's grant.
     pub grant: Grant,
-    /// What is told when the slot goes back.
+    /// Whether the replica failed, reported to the coordinator when the slot is returned.
     pub replica_broken: bool,
 }
 
 impl HeldSlot {
-    /// Whether the evidence behind the grant still holds. Checked at the moment of writing, as a process may
-    /// have paused since.
-    pub fn is_fresh(&self) -> bool {
+    /// Returns whether the evidence on which the grant is based is still valid. Checked immediately before writing,
+    /// because the process may have been suspended since the grant.
+    pub fn is_grant_valid(&self) -> bool {
         monotonic_ms() < self.received_at + Millis::from(self.grant.valid_ms)
     }
 }
@@ -65,17 +65,17 @@
             slot: self.grant.slot,
             replica_broken: self.replica_broken,
         };
-        self.client.give_back(&self.granted_by, slot_return);
+        self.client.return_slot(&self.granted_by, slot_return);
     }
 }
 
-/// Counts a waiting call for as long as it waits.
-struct Waiting {
+/// Counts a call as waiting until dropped.
+struct WaitingGuard {
     client: Arc<SlotClient>,
     pool: String,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         if let Some(slots) = self.client.pools().get_mut(&self.pool) {
             slots.waiting -= 1;
@@ -84,61 +84,69 @@
 }
 
 impl SlotClient {
-    /// No slots yet.
-    pub fn new(shared: Arc<Shared>, hosts: Arc<PoolHosts>) -> Self {
-        SlotClient { shared, hosts, pools: Mutex::default(), suspects: watch::channel(HashMap::new()).0 }
+    /// Creates the client, without slots.
+    pub fn new(shared: Arc<Shared>, hosted_pools: Arc<HostedPools>) -> Self {
+        SlotClient {
+            shared,
+            hosted_pools,
+            pools: Mutex::default(),
+            unresponsive_until: watch::channel(HashMap::new()).0,
+        }
     }
 
     fn pools(&self) -> MutexGuard<'_, BTreeMap<String, PoolSlots>> {
         lock(&self.pools)
     }
 
-    /// Waits for a slot until the deadline. The coordinator is asked; its standby if it fails to answer.
+    /// Waits for a slot until the deadline. Falls back to the standby if the coordinator does not respond.
     pub async fn acquire(
         self: &Arc<Self>,
         request: AcquireRequest,
         deadline: Millis,
     ) -> Result<HeldSlot, Refusal> {
         self.pools().entry(request.pool.clone()).or_default().waiting += 1;
-        let _waiting = Waiting { client: self.clone(), pool: request.pool.clone() };
+        let _waiting = WaitingGuard { client: self.clone(), pool: request.pool.clone() };
         loop {
             let now = monotonic_ms();
-            let left = deadline.saturating_sub(now);
-            if left == 0 {
+            let left_ms = deadline.saturating_sub(now);
+            if left_ms == 0 {
                 return Err(refusal(ResultCode::DeadlineUnreachable, "no slot within the deadline"));
             }
             let Some(daemon) = self.coordinator_of(&request.pool) else {
-                tokio::time::sleep(NO_COORDINATOR_PAUSE).await;
+                tokio::time::sleep(NO_COORDINATOR_RETRY_PAUSE).await;
                 continue;
             };
-            let attempt =
-                AcquireRequest { wait_ms: left.min(Millis::from(u32::MAX)) as u32, ..request.clone() };
-            match self.ask(&daemon, attempt, left).await {
-                Some(AcquireReply::Granted(grant)) => return Ok(self.take(&request.pool, daemon, grant)),
+            let timed_request =
+                AcquireRequest { wait_ms: left_ms.min(Millis::from(u32::MAX)) as u32, ..request.clone() };
+            match self.acquire_from(&daemon, timed_request, left_ms).await {
+                Some(AcquireReply::Granted(grant)) => {
+                    return Ok(self.add_held_slot(&request.pool, daemon, grant));
+                }
                 Some(AcquireReply::Refused(refusal)) => return Err(refusal),
-                Some(AcquireReply::NotCoordinator) => tokio::time::sleep(NO_COORDINATOR_PAUSE).await,
-                None => self.suspect(&daemon),
+                Some(AcquireReply::NotCoordinator) => tokio::time::sleep(NO_COORDINATOR_RETRY_PAUSE).await,
+                None => self.mark_unresponsive(&daemon),
             }
         }
     }
 
-    /// The coordinator, or its standby while the coordinator is passed over.
+    /// Returns the coordinator, or its standby while the coordinator counts as unresponsive.
     fn coordinator_of(&self, pool: &str) -> Option<String> {
         let tables = self.shared.tables();
         let row = tables.pools.get(pool)?;
-        let is_suspect = |daemon: &String| {
+        let is_unresponsive = |daemon: &String| {
             let now = monotonic_ms();
-            self.suspects.borrow().get(daemon).is_some_and(|until| now < *until)
+            self.unresponsive_until.borrow().get(daemon).is_some_and(|until| now < *until)
         };
         let candidates = [row.coordinator.as_ref(), row.standby.as_ref()];
-        let well = candidates.into_iter().flatten().find(|daemon| !is_suspect(daemon));
-        well.or(row.coordinator.as_ref()).cloned()
+        let responsive = candidates.into_iter().flatten().find(|daemon| !is_unresponsive(daemon));
+        responsive.or(row.coordinator.as_ref()).cloned()
     }
 
-    fn suspect(&self, daemon: &str) {
-        let until = monotonic_ms() + SUSPECT_MS;
+    fn mark_unresponsive(&self, daemon: &str) {
+        let until = monotonic_ms() + UNRESPONSIVE_MS;
         let mut is_new = false;
-        self.suspects.send_modify(|suspects| is_new = suspects.insert(daemon.to_string(), until).is_none());
+        self.unresponsive_until
+            .send_modify(|unresponsive| is_new = unresponsive.insert(daemon.to_string(), until).is_none());
         if is_new {
             let message = format!("does not answer {}; its standby is asked", self.shared.settings.name);
             let subject = Subject::new("daemon", daemon);
@@ -152,26 +160,31 @@
         }
     }
 
-    /// One call; `None` if the daemon did not answer, or came under suspicion meanwhile.
-    async fn ask(&self, daemon: &str, request: AcquireRequest, left: Millis) -> Option<AcquireReply> {
+    /// Makes one call; `None` if the daemon did not respond, or was marked as unresponsive in the meantime.
+    async fn acquire_from(
+        &self,
+        daemon: &str,
+        request: AcquireRequest,
+        left_ms: Millis,
+    ) -> Option<AcquireReply> {
         if daemon == self.shared.settings.name {
-            return Some(self.hosts.acquire(request).await);
+            return Some(self.hosted_pools.acquire(request).await);
         }
         let address = self.shared.peer_address(daemon)?;
-        let limit = Duration::from_millis(left) + CALL_MARGIN;
+        let limit = Duration::from_millis(left_ms) + CALL_TIMEOUT_MARGIN;
         let call = |client: PeerClient, context| async move { client.acquire(context, request).await };
-        let mut suspects = self.suspects.subscribe();
-        let suspected = suspects.wait_for(|suspects| {
+        let mut unresponsive_until = self.unresponsive_until.subscribe();
+        let marked_unresponsive = unresponsive_until.wait_for(|unresponsive_until| {
             let now = monotonic_ms();
-            suspects.get(daemon).is_some_and(|until| now < *until)
+            unresponsive_until.get(daemon).is_some_and(|until| now < *until)
         });
         tokio::select! {
             answer = self.shared.peers.call(address, limit, call) => answer.ok(),
-            _ = suspected => None,
+            _ = marked_unresponsive => None,
         }
     }
 
-    fn take(self: &Arc<Self>, pool: &str, granted_by: String, grant: Grant) -> HeldSlot {
+    fn add_held_slot(self: &Arc<Self>, pool: &str, granted_by: String, grant: Grant) -> HeldSlot {
         let mut pools = self.pools();
         pools.entry(pool.to_string()).or_default().held.insert(grant.slot, grant.replica.clone());
         HeldSlot {
@@ -184,11 +197,11 @@
         }
     }
 
-    fn give_back(self: &Arc<Self>, granted_by: &str, slot_return: SlotReturn) {
+    fn return_slot(self: &Arc<Self>, granted_by: &str, slot_return: SlotReturn) {
         if let Some(slots) = self.pools().get_mut(&slot_return.pool) {
             slots.held.remove(&slot_return.slot);
         }
-        // The coordinator may have changed since; then the new one has adopted the slot.
+        // If the coordinator has changed since the grant, the new one has adopted the slot.
         let current = self.coordinator_of(&slot_return.pool).unwrap_or_else(|| granted_by.to_string());
         let mut recipients = vec![current];
         if recipients[0] != granted_by {
@@ -196,27 +209,27 @@
         }
         for daemon in recipients {
             if daemon == self.shared.settings.name {
-                self.hosts.release(slot_return.clone());
+                self.hosted_pools.release(slot_return.clone());
                 continue;
             }
             let Some(address) = self.shared.peer_address(&daemon) else { continue };
             let (shared, slot_return) = (self.shared.clone(), slot_return.clone());
             let call =
                 |client: PeerClient, context| async move { client.release(context, slot_return).await };
-            // A lost return is made up for by the next showing of held slots.
-            tokio::spawn(async move { shared.peers.call(address, SHOW_TIMEOUT, call).await });
+            // If the call fails, the next report of held slots makes up for it.
+            tokio::spawn(async move { shared.peers.call(address, REPORT_TIMEOUT, call).await });
         }
     }
 
-    /// Shows held slots to the coordinators of all pools in use, for ever.
-    pub async fn show_held_slots(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(SHOW_EVERY);
+    /// Reports held slots to the coordinators of all pools in use, until the process ends.
+    pub async fn report_held_slots(self: Arc<Self>) {
+        let mut ticks = tokio::time::interval(REPORT_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let in_use: Vec<(String, Vec<(u64, String)>)> = {
+            let held_by_pool: Vec<(String, Vec<(u64, String)>)> = {
                 let mut pools = self.pools();
-                let shown = pools
+                let held_by_pool = pools
                     .iter()
                     .map(|(pool, slots)| {
                         let held =
@@ -224,27 +237,27 @@
                         (pool.clone(), held)
                     })
                     .collect();
-                // A pool that is no longer used is shown empty once more, and then no more.
+                // A pool that is no longer in use is reported once more, without slots, and then dropped.
                 pools.retain(|_, slots| slots.waiting > 0 || !slots.held.is_empty());
-                shown
+                held_by_pool
             };
-            let shows = in_use.into_iter().map(|(pool, held)| self.show(pool, held));
-            futures::future::join_all(shows).await;
+            let reports = held_by_pool.into_iter().map(|(pool, held)| self.report(pool, held));
+            futures::future::join_all(reports).await;
         }
     }
 
-    async fn show(&self, pool: String, held: Vec<(u64, String)>) {
+    async fn report(&self, pool: String, held: Vec<(u64, String)>) {
         let Some(daemon) = self.coordinator_of(&pool) else { return };
         let entry = self.shared.settings.name.clone();
         if daemon == entry {
-            self.hosts.entry_holds(&entry, &pool, held);
+            self.hosted_pools.record_held_slots(&entry, &pool, held);
             return;
         }
         let Some(address) = self.shared.peer_address(&daemon) else { return };
         let call =
             |client: PeerClient, context| async move { client.held_slots(context, entry, pool, held).await };
-        if self.shared.peers.call(address, SHOW_TIMEOUT, call).await.is_err() {
-            self.suspect(&daemon);
+        if self.shared.peers.call(address, REPORT_TIMEOUT, call).await.is_err() {
+            self.mark_unresponsive(&daemon);
         }
     }
 }
