--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -219,7 +219,7 @@
 
     async fn evidence(self, _: Context, reports: Vec<ReplicaEvidence>) -> u64 {
         self.count_call("evidence");
-        self.traffic.pools.evidence(reports);
+        self.traffic.pools.record_evidence(reports);
         monotonic_ms()
     }
 
--- a/crates/daemon/src/probe/replica_watcher.rs
+++ b/crates/daemon/src/probe/replica_watcher.rs
@@ -190,7 +190,7 @@
 
     async fn send_to(&self, daemon: &str, reports: Vec<ReplicaEvidence>) {
         if daemon == self.shared.settings.name {
-            self.traffic.pools.evidence(reports);
+            self.traffic.pools.record_evidence(reports);
             self.record_clock(daemon, monotonic_ms());
             return;
         }
--- a/crates/daemon/src/traffic/pools.rs
+++ b/crates/daemon/src/traffic/pools.rs
@@ -100,7 +100,7 @@
     }
 
     /// Passes a watcher's evidence to the coordinators.
-    pub fn evidence(&self, reports: Vec<ReplicaEvidence>) {
+    pub fn record_evidence(&self, reports: Vec<ReplicaEvidence>) {
         for report in reports {
             if let Some(host) = self.host(&report.pool) {
                 self.step(&host, Input::Evidence(report));
