--- a/crates/daemon/src/traffic/records.rs
+++ b/crates/daemon/src/traffic/records.rs
@@ -147,7 +147,7 @@
 /// Records that a request is about to be sent to a back end, and returns the previous record, if any. Returns once
 /// another daemon has stored the new record, so that the loss of this daemon does not hide that the request may have
 /// run. If all daemons that are queried for records are unreachable, it returns nevertheless: a lookup without their
-/// responses counts as uncertain, see [`Lookup::may_have_missed_record`].
+/// responses counts as uncertain, see [`RecordLookup::may_have_missed_record`].
 pub async fn store_before_dispatch(traffic: &Arc<Traffic>, record: RequestRecord) -> Option<RequestRecord> {
     let holders = holders(&traffic.shared.tables(), &record.key);
     let own_name = &traffic.shared.settings.name;
@@ -211,14 +211,14 @@
 
 /// Result of querying the daemons that may store a record.
 #[derive(Debug, Default)]
-pub struct Lookup {
+pub struct RecordLookup {
     /// The record with the most progressed outcome.
     pub record: Option<RequestRecord>,
     /// Number of daemons that did not respond.
     pub unanswered: usize,
 }
 
-impl Lookup {
+impl RecordLookup {
     /// Returns whether the record may exist at daemons that did not respond. It has two copies, so that a single daemon
     /// without a response can't hide it.
     pub fn may_have_missed_record(&self) -> bool {
@@ -232,7 +232,7 @@
 }
 
 /// Queries the daemons that may store a record.
-pub async fn find_record(traffic: &Traffic, key: &str) -> Lookup {
+pub async fn find_record(traffic: &Traffic, key: &str) -> RecordLookup {
     let tables = traffic.shared.tables();
     let holders = holders(&tables, key);
     let reads = holders.iter().take(LOOKUP_DAEMONS).map(|holder| read_at(traffic, holder, key));
@@ -240,7 +240,10 @@
     let unanswered = answers.iter().filter(|answer| answer.is_none()).count();
     let most_progressed =
         answers.into_iter().flatten().flatten().max_by_key(|record| outcome_progress(record.outcome));
-    Lookup { record: most_progressed.map(|record| mark_unknown_if_entry_lost(&tables, record)), unanswered }
+    RecordLookup {
+        record: most_progressed.map(|record| mark_unknown_if_entry_lost(&tables, record)),
+        unanswered,
+    }
 }
 
 /// Queries one daemon; `None` if it did not respond.
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -10,7 +10,7 @@
 use dockwood_daemon::process::accepts_for;
 use dockwood_daemon::settings::{GatewaySettings, RetryBudgetSettings};
 use dockwood_daemon::timeline::{TIMELINE_CAPACITY, Timeline};
-use dockwood_daemon::traffic::records::{Lookup, RecordStore};
+use dockwood_daemon::traffic::records::{RecordLookup, RecordStore};
 use dockwood_daemon::watch_hub::{RETAINED_REVISIONS, WatchHub};
 use dockwood_grouping::HeartbeatInterval;
 use std::time::{Duration, Instant};
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_may_have_run_where_no_record_is_sure() {
     let lookup = |outcome: Option<Outcome>, unanswered| {
-        Lookup { record: outcome.map(|outcome| record("k", outcome, 0)), unanswered }.may_have_run()
+        RecordLookup { record: outcome.map(|outcome| record("k", outcome, 0)), unanswered }.may_have_run()
     };
     assert!(!lookup(None, 0) && !lookup(None, 1) && lookup(None, 2));
     assert!(!lookup(Some(Outcome::NotRun), 2));
