--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -12,7 +12,7 @@
 mod streamed;
 mod watch;
 
-pub use streamed::whole_or_cut;
+pub use streamed::stream_or_abort;
 
 use crate::shared::Shared;
 use crate::traffic::Traffic;
--- a/crates/daemon/src/http/service.rs
+++ b/crates/daemon/src/http/service.rs
@@ -2,7 +2,7 @@
 
 use super::caller::request_headers;
 use super::refusal;
-use super::whole_or_cut;
+use super::stream_or_abort;
 use super::{App, auth};
 use crate::published::is_allowed;
 use crate::shared::InFlight;
@@ -145,7 +145,7 @@
     // The guards are dropped at the end of the body.
     let body = stream::try_unfold((service_response, in_flight), next_bytes);
     let builder = builder.header(HEADER_REQUEST_ID, id);
-    Ok(builder.body(whole_or_cut(body)))
+    Ok(builder.body(stream_or_abort(body)))
 }
 
 /// Reads the next part of a response body. A complete body proves that the call crashed no server.
--- a/crates/daemon/src/http/streamed.rs
+++ b/crates/daemon/src/http/streamed.rs
@@ -8,7 +8,7 @@
 
 /// Creates a body that aborts its connection on an error. The HTTP library terminates a failed body as if it were
 /// complete. This is prevented only by a panic in the task of the connection, which affects no other connection.
-pub fn whole_or_cut<S, E>(chunks: S) -> Body
+pub fn stream_or_abort<S, E>(chunks: S) -> Body
 where
     S: Stream<Item = Result<Bytes, E>> + Send + 'static,
     E: std::error::Error + Send + Sync + 'static,
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -103,7 +103,7 @@
 /// Found while the gateway's tests were written: the HTTP library ends an answer that breaks midway as if it were whole.
 #[tokio::test]
 async fn a_streamed_answer_that_fails_midway_does_not_look_whole() -> std::io::Result<()> {
-    use dockwood_daemon::http::whole_or_cut;
+    use dockwood_daemon::http::stream_or_abort;
     use futures::StreamExt;
     use poem::listener::{Acceptor, Listener, TcpListener};
     use poem::{Response, Server, handler};
@@ -116,7 +116,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             piece
         });
-        Response::builder().body(whole_or_cut(one_by_one))
+        Response::builder().body(stream_or_abort(one_by_one))
     }
 
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await?;
