--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -2,7 +2,7 @@
 //! after its disk or its place in the group was lost.
 
 use super::ControlMessage;
-use crate::peer::Targets;
+use crate::peer::LeaderSearch;
 use crate::shared::Shared;
 use dockwood_api::peer::{AdmitAnswer, PeerClient};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 /// Asks for ever, at a process that is meant to be a member; a voter's request changes nothing.
 pub async fn run_admission(shared: Arc<Shared>, id: u64) {
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     let mut asks_asker = false;
     loop {
         tokio::time::sleep(ASK_EVERY).await;
--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -2,7 +2,7 @@
 //! control group can be reached.
 
 use crate::clock::monotonic_ms;
-use crate::peer::{Targets, pick_relay};
+use crate::peer::{LeaderSearch, pick_relay};
 use crate::shared::Shared;
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 
 /// The path to the leader.
 pub struct LeasePath {
-    targets: Targets,
+    targets: LeaderSearch,
     /// The daemon that passed the last request on.
     relay: Option<SocketAddr>,
     granted_at: u64,
@@ -34,7 +34,7 @@
     pub fn new(shared: &Shared) -> Self {
         let now = monotonic_ms();
         LeasePath {
-            targets: Targets::new(shared),
+            targets: LeaderSearch::new(shared),
             relay: None,
             granted_at: now,
             direct_at: now,
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -11,4 +11,4 @@
 pub use relay::pick_relay;
 pub use server::serve_peers;
 pub use submit::{control_view, read_document, read_revision, register, submit};
-pub use targets::Targets;
+pub use targets::LeaderSearch;
--- a/crates/daemon/src/peer/submit.rs
+++ b/crates/daemon/src/peer/submit.rs
@@ -1,7 +1,7 @@
 //! Commands and queries to the control leader, including the search for it.
 
 use super::clients::PeerFailure;
-use super::targets::Targets;
+use super::targets::LeaderSearch;
 use crate::clock::{monotonic_ms, wall_ms};
 use crate::shared::Shared;
 use backon::{BackoffBuilder, ExponentialBuilder};
@@ -34,7 +34,7 @@
         .with_jitter()
         .without_max_times()
         .build();
-    let mut targets = Targets::new(shared);
+    let mut targets = LeaderSearch::new(shared);
     let mut last_failure = ApiError::new(ResultCode::NoLeader, "no control leader is known");
     loop {
         let target = targets.next(shared);
@@ -151,7 +151,7 @@
     Call: Future<Output = Result<LeaderResponse<T>, RpcError>>,
 {
     let deadline = monotonic_ms() + limit.as_millis() as u64;
-    let mut targets = Targets::new(shared);
+    let mut targets = LeaderSearch::new(shared);
     let mut last_failure = ApiError::new(ResultCode::NoLeader, "no control leader answers");
     loop {
         let left = Duration::from_millis(deadline.saturating_sub(monotonic_ms()));
--- a/crates/daemon/src/peer/targets.rs
+++ b/crates/daemon/src/peer/targets.rs
@@ -9,17 +9,17 @@
 const MAX_CONSECUTIVE_REDIRECTS: u32 = 3;
 
 /// The daemons to call: a newly announced leader, else the last known leader, else the members in turn.
-pub struct Targets {
+pub struct LeaderSearch {
     hint: Option<SocketAddr>,
     position: usize,
     redirects: u32,
     announcements: watch::Receiver<u64>,
 }
 
-impl Targets {
+impl LeaderSearch {
     /// Begins with the last known leader.
     pub fn new(shared: &Shared) -> Self {
-        Targets {
+        LeaderSearch {
             hint: shared.leader(),
             position: shared.incarnation as usize,
             redirects: 0,
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -2,7 +2,7 @@
 
 use dockwood_daemon::control::ControlHandle;
 use dockwood_daemon::metrics::Metrics;
-use dockwood_daemon::peer::Targets;
+use dockwood_daemon::peer::LeaderSearch;
 use dockwood_daemon::settings::Settings;
 use dockwood_daemon::shared::Shared;
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
 #[test]
 fn members_that_name_each_other_as_leader_do_not_hide_a_third_one() {
     let shared = entry();
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     let mut asked = BTreeSet::new();
     for _ in 0..20 {
         let target = targets.next(&shared);
@@ -48,7 +48,7 @@
 #[test]
 fn a_named_leader_is_asked_next_and_only_once() {
     let shared = entry();
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     let first = targets.next(&shared);
     targets.refused(first, Some(member(7)));
     assert_eq!(targets.next(&shared), member(7));
@@ -59,7 +59,7 @@
 #[test]
 fn an_announced_leader_is_asked_next_and_stays_a_candidate() {
     let shared = entry();
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     targets.refused(member(1), Some(member(2)));
     assert!(shared.known_leader.announced(0, member(8), 3));
     assert_eq!(targets.next(&shared), member(8));
