--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -46,7 +46,7 @@
     /// Whom to ask next.
     pub fn next(&mut self, shared: &Shared) -> SocketAddr {
         let now = monotonic_ms();
-        if let Some(leader) = self.targets.take_news(shared) {
+        if let Some(leader) = self.targets.take_announced_leader(shared) {
             self.relay = None;
             self.asked_directly = true;
             return leader;
--- a/crates/daemon/src/peer/targets.rs
+++ b/crates/daemon/src/peer/targets.rs
@@ -29,7 +29,7 @@
 
     /// Returns the daemon to call next.
     pub fn next(&mut self, shared: &Shared) -> SocketAddr {
-        if let Some(leader) = self.take_news(shared) {
+        if let Some(leader) = self.take_announced_leader(shared) {
             return leader;
         }
         if let Some(hint) = self.hint.take() {
@@ -43,7 +43,7 @@
     }
 
     /// Returns the leader if one was announced since the last call.
-    pub fn take_news(&mut self, shared: &Shared) -> Option<SocketAddr> {
+    pub fn take_announced_leader(&mut self, shared: &Shared) -> Option<SocketAddr> {
         let has_announcement = self.announcements.has_changed().unwrap_or(false);
         if !has_announcement {
             return None;
