--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -35,7 +35,7 @@
             |client: PeerClient, context| async move { client.admit_voter(context, id, address, zone).await };
         match shared.peers.call(target, ANSWER_TIMEOUT, call).await {
             Ok(AdmitAnswer::Noted(voters)) => {
-                targets.answered(target);
+                targets.record_leader(target);
                 shared.control.send(ControlMessage::LearnVoters(voters)).await;
             }
             // The leader need not be among the daemons that this one knows.
--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -77,7 +77,7 @@
             let is_avoided = |voter: &SocketAddr| {
                 self.avoided.is_some_and(|(avoided, until)| avoided == *voter && now < until)
             };
-            self.targets.answered(ask_next.filter(|voter| !is_avoided(voter)).unwrap_or(target));
+            self.targets.record_leader(ask_next.filter(|voter| !is_avoided(voter)).unwrap_or(target));
         } else {
             self.relay = Some(target);
         }
--- a/crates/daemon/src/peer/targets.rs
+++ b/crates/daemon/src/peer/targets.rs
@@ -54,7 +54,7 @@
     }
 
     /// Records that a daemon responded as the leader.
-    pub fn answered(&mut self, leader: SocketAddr) {
+    pub fn record_leader(&mut self, leader: SocketAddr) {
         self.redirects = 0;
         self.hint = Some(leader);
     }
