--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -39,7 +39,7 @@
                 shared.control.send(ControlMessage::LearnVoters(voters)).await;
             }
             // The leader need not be among the daemons that this one knows.
-            Ok(AdmitAnswer::NotLeader { leader }) => targets.refused(target, leader),
+            Ok(AdmitAnswer::NotLeader { leader }) => targets.record_redirect(target, leader),
             Err(_) => targets.failed(),
         }
     }
--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -95,7 +95,7 @@
             if leader.is_some() {
                 self.avoid(target);
             }
-            self.targets.refused(target, leader);
+            self.targets.record_redirect(target, leader);
         } else {
             self.relay = None;
         }
--- a/crates/daemon/src/peer/submit.rs
+++ b/crates/daemon/src/peer/submit.rs
@@ -43,7 +43,7 @@
             Ok(SubmitReply::Applied { revision, outcome }) => {
                 return Ok((revision, decode_outcome(&outcome)?));
             }
-            Ok(SubmitReply::NotLeader { leader }) => targets.refused(target, leader),
+            Ok(SubmitReply::NotLeader { leader }) => targets.record_redirect(target, leader),
             Ok(SubmitReply::Failed { code, message }) => last_failure = ApiError::new(code, message),
             Err(failure) => {
                 shared.metrics.peer_failures.inc();
@@ -158,7 +158,7 @@
         let target = targets.next(shared);
         match shared.peers.call(target, left.min(QUERY_ATTEMPT_TIMEOUT), &call).await {
             Ok(LeaderResponse::Reply(answer)) => return Ok(answer),
-            Ok(LeaderResponse::NotLeader(leader)) => targets.refused(target, leader),
+            Ok(LeaderResponse::NotLeader(leader)) => targets.record_redirect(target, leader),
             Ok(LeaderResponse::Failed(error)) => last_failure = error,
             Err(_) => {
                 shared.metrics.peer_failures.inc();
--- a/crates/daemon/src/peer/targets.rs
+++ b/crates/daemon/src/peer/targets.rs
@@ -60,7 +60,7 @@
     }
 
     /// Records that `asked` is not the leader, and which daemon it named as the leader.
-    pub fn refused(&mut self, asked: SocketAddr, named: Option<SocketAddr>) {
+    pub fn record_redirect(&mut self, asked: SocketAddr, named: Option<SocketAddr>) {
         let named = named.filter(|named| *named != asked && self.redirects < MAX_CONSECUTIVE_REDIRECTS);
         self.redirects += u32::from(named.is_some());
         self.hint = named;
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -40,7 +40,7 @@
         let target = targets.next(&shared);
         asked.insert(target);
         let other = if target == member(1) { member(2) } else { member(1) };
-        targets.refused(target, Some(other).filter(|_| target != member(3)));
+        targets.record_redirect(target, Some(other).filter(|_| target != member(3)));
     }
     assert!(asked.contains(&member(3)), "only {asked:?} were asked");
 }
@@ -50,7 +50,7 @@
     let shared = entry();
     let mut targets = LeaderSearch::new(&shared);
     let first = targets.next(&shared);
-    targets.refused(first, Some(member(7)));
+    targets.record_redirect(first, Some(member(7)));
     assert_eq!(targets.next(&shared), member(7));
     targets.failed();
     assert_ne!(targets.next(&shared), member(7));
@@ -60,7 +60,7 @@
 fn an_announced_leader_is_asked_next_and_stays_a_candidate() {
     let shared = entry();
     let mut targets = LeaderSearch::new(&shared);
-    targets.refused(member(1), Some(member(2)));
+    targets.record_redirect(member(1), Some(member(2)));
     assert!(shared.known_leader.announced(0, member(8), 3));
     assert_eq!(targets.next(&shared), member(8));
     targets.failed();
