--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -40,7 +40,7 @@
             }
             // The leader need not be among the daemons that this one knows.
             Ok(AdmitAnswer::NotLeader { leader }) => targets.record_redirect(target, leader),
-            Err(_) => targets.failed(),
+            Err(_) => targets.record_failure(),
         }
     }
 }
--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -105,7 +105,7 @@
     pub fn failed(&mut self, target: SocketAddr) {
         if self.asked_directly {
             self.avoid(target);
-            self.targets.failed();
+            self.targets.record_failure();
         } else {
             self.relay = None;
         }
--- a/crates/daemon/src/peer/submit.rs
+++ b/crates/daemon/src/peer/submit.rs
@@ -47,7 +47,7 @@
             Ok(SubmitReply::Failed { code, message }) => last_failure = ApiError::new(code, message),
             Err(failure) => {
                 shared.metrics.peer_failures.inc();
-                targets.failed();
+                targets.record_failure();
                 last_failure = ApiError::new(ResultCode::ControlTimeout, failure.to_string());
             }
         }
@@ -162,7 +162,7 @@
             Ok(LeaderResponse::Failed(error)) => last_failure = error,
             Err(_) => {
                 shared.metrics.peer_failures.inc();
-                targets.failed();
+                targets.record_failure();
             }
         }
         if monotonic_ms() >= deadline {
--- a/crates/daemon/src/peer/targets.rs
+++ b/crates/daemon/src/peer/targets.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records that the daemon did not respond.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.hint = None;
     }
 
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -52,7 +52,7 @@
     let first = targets.next(&shared);
     targets.record_redirect(first, Some(member(7)));
     assert_eq!(targets.next(&shared), member(7));
-    targets.failed();
+    targets.record_failure();
     assert_ne!(targets.next(&shared), member(7));
 }
 
@@ -63,7 +63,7 @@
     targets.record_redirect(member(1), Some(member(2)));
     assert!(shared.known_leader.announced(0, member(8), 3));
     assert_eq!(targets.next(&shared), member(8));
-    targets.failed();
+    targets.record_failure();
     let candidates: BTreeSet<SocketAddr> = (0..8).map(|_| targets.next(&shared)).collect();
     assert_eq!(candidates, BTreeSet::from([member(1), member(2), member(3), member(8)]));
 }
