--- a/crates/daemon/src/peer/submit.rs
+++ b/crates/daemon/src/peer/submit.rs
@@ -1,7 +1,7 @@
 //! Commands and queries to the control leader, including the search for it.
 
 use super::clients::PeerFailure;
-use super::targets::LeaderSearch;
+use super::leader_search::LeaderSearch;
 use crate::clock::{monotonic_ms, wall_ms};
 use crate::shared::Shared;
 use backon::{BackoffBuilder, ExponentialBuilder};
@@ -34,24 +34,25 @@
         .with_jitter()
         .without_max_times()
         .build();
-    let mut targets = LeaderSearch::new(shared);
+    let mut leader_search = LeaderSearch::new(shared);
     let mut last_failure = ApiError::new(ResultCode::NoLeader, "no control leader is known");
     loop {
-        let target = targets.next(shared);
+        let target = leader_search.next(shared);
         let left = Duration::from_millis(deadline.saturating_sub(monotonic_ms()));
         match submit_once(shared, target, command.clone(), left.min(SUBMIT_ATTEMPT_TIMEOUT)).await {
             Ok(SubmitReply::Applied { revision, outcome }) => {
                 return Ok((revision, decode_outcome(&outcome)?));
             }
-            Ok(SubmitReply::NotLeader { leader }) => targets.record_redirect(target, leader),
+            Ok(SubmitReply::NotLeader { leader }) => leader_search.record_redirect(target, leader),
             Ok(SubmitReply::Failed { code, message }) => last_failure = ApiError::new(code, message),
             Err(failure) => {
                 shared.metrics.peer_failures.inc();
-                targets.record_failure();
+                leader_search.record_failure();
                 last_failure = ApiError::new(ResultCode::ControlTimeout, failure.to_string());
             }
         }
-        let pause = if targets.has_hint() { Duration::ZERO } else { pauses.next().unwrap_or(MAX_PAUSE) };
+        let pause =
+            if leader_search.has_hint() { Duration::ZERO } else { pauses.next().unwrap_or(MAX_PAUSE) };
         // The caller relies on the time limit: no attempt begins after it.
         if monotonic_ms() + pause.as_millis() as u64 >= deadline {
             return Err(last_failure);
@@ -151,24 +152,24 @@
     Call: Future<Output = Result<LeaderResponse<T>, RpcError>>,
 {
     let deadline = monotonic_ms() + limit.as_millis() as u64;
-    let mut targets = LeaderSearch::new(shared);
+    let mut leader_search = LeaderSearch::new(shared);
     let mut last_failure = ApiError::new(ResultCode::NoLeader, "no control leader answers");
     loop {
         let left = Duration::from_millis(deadline.saturating_sub(monotonic_ms()));
-        let target = targets.next(shared);
+        let target = leader_search.next(shared);
         match shared.peers.call(target, left.min(QUERY_ATTEMPT_TIMEOUT), &call).await {
             Ok(LeaderResponse::Reply(answer)) => return Ok(answer),
-            Ok(LeaderResponse::NotLeader(leader)) => targets.record_redirect(target, leader),
+            Ok(LeaderResponse::NotLeader(leader)) => leader_search.record_redirect(target, leader),
             Ok(LeaderResponse::Failed(error)) => last_failure = error,
             Err(_) => {
                 shared.metrics.peer_failures.inc();
-                targets.record_failure();
+                leader_search.record_failure();
             }
         }
         if monotonic_ms() >= deadline {
             return Err(last_failure);
         }
-        if !targets.has_hint() {
+        if !leader_search.has_hint() {
             tokio::time::sleep(MIN_PAUSE).await;
         }
     }
