--- a/crates/daemon/src/http/caller.rs
+++ b/crates/daemon/src/http/caller.rs
@@ -24,8 +24,8 @@
 
 /// Capacity of the queue between a request and its caller, in events.
 const EVENT_QUEUE_CAPACITY: usize = 256;
-/// Path of chat requests in fingerprints. Their host is left empty, because every host name of the daemons accepts
-/// them.
+/// Path of chat requests in fingerprints. The host in these fingerprints is empty, because chat requests are accepted
+/// under any host name of the daemons.
 const CHAT_PATH: &str = "/v1/chat/completions";
 /// Maximum length of a request id.
 const MAX_REQUEST_ID_BYTES: usize = 128;
--- a/crates/daemon/src/peer/leader_search.rs
+++ b/crates/daemon/src/peer/leader_search.rs
@@ -8,7 +8,7 @@
 /// again: otherwise two daemons with outdated information could redirect to each other forever.
 const MAX_CONSECUTIVE_REDIRECTS: u32 = 3;
 
-/// The daemons to call: a newly announced leader, else the last known leader, else the members in turn.
+/// Search for the leader: selects a newly announced leader, else the last known leader, else the members in turn.
 pub struct LeaderSearch {
     hint: Option<SocketAddr>,
     position: usize,
