--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -2,7 +2,7 @@
 //! after its disk or its place in the group was lost.
 
 use super::ControlMessage;
-use crate::peer::Targets;
+use crate::peer::LeaderSearch;
 use crate::shared::Shared;
 use dockwood_api::peer::{AdmitAnswer, PeerClient};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 /// Asks for ever, at a process that is meant to be a member; a voter's request changes nothing.
 pub async fn run_admission(shared: Arc<Shared>, id: u64) {
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     let mut asks_asker = false;
     loop {
         tokio::time::sleep(ASK_EVERY).await;
@@ -35,12 +35,12 @@
             |client: PeerClient, context| async move { client.admit_voter(context, id, address, zone).await };
         match shared.peers.call(target, ANSWER_TIMEOUT, call).await {
             Ok(AdmitAnswer::Noted(voters)) => {
-                targets.answered(target);
+                targets.record_leader(target);
                 shared.control.send(ControlMessage::LearnVoters(voters)).await;
             }
             // The leader need not be among the daemons that this one knows.
-            Ok(AdmitAnswer::NotLeader { leader }) => targets.refused(target, leader),
-            Err(_) => targets.failed(),
+            Ok(AdmitAnswer::NotLeader { leader }) => targets.record_redirect(target, leader),
+            Err(_) => targets.record_failure(),
         }
     }
 }
--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -2,7 +2,7 @@
 //! control group can be reached.
 
 use crate::clock::monotonic_ms;
-use crate::peer::{Targets, pick_relay};
+use crate::peer::{LeaderSearch, pick_relay};
 use crate::shared::Shared;
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 
 /// The path to the leader.
 pub struct LeasePath {
-    targets: Targets,
+    targets: LeaderSearch,
     /// The daemon that passed the last request on.
     relay: Option<SocketAddr>,
     granted_at: u64,
@@ -34,7 +34,7 @@
     pub fn new(shared: &Shared) -> Self {
         let now = monotonic_ms();
         LeasePath {
-            targets: Targets::new(shared),
+            targets: LeaderSearch::new(shared),
             relay: None,
             granted_at: now,
             direct_at: now,
@@ -46,7 +46,7 @@
     /// Whom to ask next.
     pub fn next(&mut self, shared: &Shared) -> SocketAddr {
         let now = monotonic_ms();
-        if let Some(leader) = self.targets.take_news(shared) {
+        if let Some(leader) = self.targets.take_announced_leader(shared) {
             self.relay = None;
             self.asked_directly = true;
             return leader;
@@ -77,7 +77,7 @@
             let is_avoided = |voter: &SocketAddr| {
                 self.avoided.is_some_and(|(avoided, until)| avoided == *voter && now < until)
             };
-            self.targets.answered(ask_next.filter(|voter| !is_avoided(voter)).unwrap_or(target));
+            self.targets.record_leader(ask_next.filter(|voter| !is_avoided(voter)).unwrap_or(target));
         } else {
             self.relay = Some(target);
         }
@@ -95,7 +95,7 @@
             if leader.is_some() {
                 self.avoid(target);
             }
-            self.targets.refused(target, leader);
+            self.targets.record_redirect(target, leader);
         } else {
             self.relay = None;
         }
@@ -105,7 +105,7 @@
     pub fn failed(&mut self, target: SocketAddr) {
         if self.asked_directly {
             self.avoid(target);
-            self.targets.failed();
+            self.targets.record_failure();
         } else {
             self.relay = None;
         }
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -10,7 +10,7 @@
 use dockwood_daemon::process::accepts_for;
 use dockwood_daemon::settings::{GatewaySettings, RetryBudgetSettings};
 use dockwood_daemon::timeline::{TIMELINE_CAPACITY, Timeline};
-use dockwood_daemon::traffic::records::{Lookup, RecordStore};
+use dockwood_daemon::traffic::records::{RecordLookup, RecordStore};
 use dockwood_daemon::watch_hub::{RETAINED_REVISIONS, WatchHub};
 use dockwood_grouping::HeartbeatInterval;
 use std::time::{Duration, Instant};
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_may_have_run_where_no_record_is_sure() {
     let lookup = |outcome: Option<Outcome>, unanswered| {
-        Lookup { record: outcome.map(|outcome| record("k", outcome, 0)), unanswered }.may_have_run()
+        RecordLookup { record: outcome.map(|outcome| record("k", outcome, 0)), unanswered }.may_have_run()
     };
     assert!(!lookup(None, 0) && !lookup(None, 1) && lookup(None, 2));
     assert!(!lookup(Some(Outcome::NotRun), 2));
@@ -103,7 +103,7 @@
 /// Found while the gateway's tests were written: the HTTP library ends an answer that breaks midway as if it were whole.
 #[tokio::test]
 async fn a_streamed_answer_that_fails_midway_does_not_look_whole() -> std::io::Result<()> {
-    use dockwood_daemon::http::whole_or_cut;
+    use dockwood_daemon::http::stream_or_abort;
     use futures::StreamExt;
     use poem::listener::{Acceptor, Listener, TcpListener};
     use poem::{Response, Server, handler};
@@ -116,7 +116,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             piece
         });
-        Response::builder().body(whole_or_cut(one_by_one))
+        Response::builder().body(stream_or_abort(one_by_one))
     }
 
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await?;
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -2,7 +2,7 @@
 
 use dockwood_daemon::control::ControlHandle;
 use dockwood_daemon::metrics::Metrics;
-use dockwood_daemon::peer::Targets;
+use dockwood_daemon::peer::LeaderSearch;
 use dockwood_daemon::settings::Settings;
 use dockwood_daemon::shared::Shared;
 use std::collections::BTreeSet;
@@ -34,13 +34,13 @@
 #[test]
 fn members_that_name_each_other_as_leader_do_not_hide_a_third_one() {
     let shared = entry();
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     let mut asked = BTreeSet::new();
     for _ in 0..20 {
         let target = targets.next(&shared);
         asked.insert(target);
         let other = if target == member(1) { member(2) } else { member(1) };
-        targets.refused(target, Some(other).filter(|_| target != member(3)));
+        targets.record_redirect(target, Some(other).filter(|_| target != member(3)));
     }
     assert!(asked.contains(&member(3)), "only {asked:?} were asked");
 }
@@ -48,22 +48,22 @@
 #[test]
 fn a_named_leader_is_asked_next_and_only_once() {
     let shared = entry();
-    let mut targets = Targets::new(&shared);
+    let mut targets = LeaderSearch::new(&shared);
     let first = targets.next(&shared);
-    targets.refused(first, Some(member(7)));
+    targets.record_redirect(first, Some(member(7)));
     assert_eq!(targets.next(&shared), member(7));
-    targets.failed();
+    targets.record_failure();
     assert_ne!(targets.next(&shared), member(7));
 }
 
 #[test]
 fn an_announced_leader_is_asked_next_and_stays_a_candidate() {
     let shared = entry();
-    let mut targets = Targets::new(&shared);
-    targets.refused(member(1), Some(member(2)));
+    let mut targets = LeaderSearch::new(&shared);
+    targets.record_redirect(member(1), Some(member(2)));
     assert!(shared.known_leader.announced(0, member(8), 3));
     assert_eq!(targets.next(&shared), member(8));
-    targets.failed();
+    targets.record_failure();
     let candidates: BTreeSet<SocketAddr> = (0..8).map(|_| targets.next(&shared)).collect();
     assert_eq!(candidates, BTreeSet::from([member(1), member(2), member(3), member(8)]));
 }
