--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,17 +1,17 @@
-//! The daemon's command line, shared by the `dockwoodd` program and the bench.
+//! Command-line interface of the daemon, shared by `dockwoodd` and `dockwood-bench`.
 
 use crate::dialect::Dialect;
-use crate::process::{self, Start};
+use crate::process::{self, ProcessOptions};
 use crate::settings::Settings;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Exit code for settings that can't be used.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 
-/// The command line.
+/// Builds the command-line parser.
 pub fn command() -> Command {
     Command::new("dockwoodd")
         .about("The dockwood daemon")
@@ -36,20 +36,20 @@
     }
 }
 
-/// Checks the settings, or runs the daemon to its end.
+/// Validates the settings if `--check` is given; otherwise runs the daemon until it ends.
 pub fn execute(matches: &ArgMatches, dialect: Arc<dyn Dialect>) -> ExitCode {
     let path = matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
     let Some(settings) = read_settings(&path) else { return ExitCode::from(EXIT_SETTINGS) };
     if matches.get_flag("check") {
-        println!("settings are in order");
+        println!("settings are valid");
         return ExitCode::SUCCESS;
     }
     run(settings, path, dialect)
 }
 
-/// Runs the daemon to its end.
+/// Runs the daemon until it ends.
 pub fn run(settings: Settings, settings_path: PathBuf, dialect: Arc<dyn Dialect>) -> ExitCode {
-    match process::run(Start { settings, settings_path, dialect }) {
+    match process::run(ProcessOptions { settings, settings_path, dialect }) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -1,5 +1,5 @@
-//! Asks to be a voter for as long as no leader is heard of: at the first start of a process that is no founder, and
-//! after its disk or its place in the group was lost.
+//! Requests admission as a voter for as long as no leader is known: at the first start of a process that is not a
+//! founder, and after it lost its disk or was removed from the group.
 
 use super::ControlMessage;
 use crate::peer::Targets;
@@ -8,24 +8,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two requests.
-const ASK_EVERY: Duration = Duration::from_millis(250);
-/// How long one member may take.
+/// Time between two admission requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// Time limit of one request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks for ever, at a process that is meant to be a member; a voter's request changes nothing.
+/// Requests admission whenever no leader is known. Runs for the life of a process that is configured as a member; a
+/// request from a process that is a voter already has no effect.
 pub async fn run_admission(shared: Arc<Shared>, id: u64) {
     let mut targets = Targets::new(&shared);
-    let mut asks_asker = false;
+    let mut use_requester = false;
     loop {
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         if shared.hears_control_leader() {
             continue;
         }
-        // In turns: the members that this one knows may know as little, and an entry may have found the leader.
-        asks_asker = !asks_asker;
-        let asker = if asks_asker && !targets.has_hint() { shared.next_asker() } else { None };
-        let target = asker.unwrap_or_else(|| targets.next(&shared));
+        // Alternates between known members and daemons that requested a lease here: the members may not know the leader
+        // either, while an entry may have found it.
+        use_requester = !use_requester;
+        let requester = if use_requester && !targets.has_hint() { shared.next_asker() } else { None };
+        let target = requester.unwrap_or_else(|| targets.next(&shared));
         let address = shared.settings.peer;
         let zone = shared.settings.zone.clone();
         if target == address {
@@ -38,7 +40,7 @@
                 targets.answered(target);
                 shared.control.send(ControlMessage::LearnVoters(voters)).await;
             }
-            // The leader need not be among the daemons that this one knows.
+            // The leader may be a daemon that is unknown here.
             Ok(AdmitAnswer::NotLeader { leader }) => targets.refused(target, leader),
             Err(_) => targets.failed(),
         }
--- a/crates/daemon/src/control/announcer.rs
+++ b/crates/daemon/src/control/announcer.rs
@@ -1,4 +1,4 @@
-//! Calls daemons that have not asked this leader for a lease, and tells them where it is.
+//! Announces this leader to daemons that have not requested a lease from it.
 
 use crate::shared::Shared;
 use dockwood_api::peer::PeerClient;
@@ -6,31 +6,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a daemon may take: less than the time after which it is called again.
+/// Time limit of a call: less than the interval after which it is repeated.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Makes the leader's calls.
+/// Sends the leader's announcements.
 pub struct Announcer {
     shared: Arc<Shared>,
     runtime: tokio::runtime::Handle,
 }
 
 impl Announcer {
-    /// Calls are made on this runtime.
+    /// Creates an announcer that makes its calls on `runtime`.
     pub fn new(shared: Arc<Shared>, runtime: tokio::runtime::Handle) -> Announcer {
         Announcer { shared, runtime }
     }
 
-    /// Tells these daemons that this one leads. Calls that fail are repeated by whoever asks for them.
-    pub fn call(&self, daemons: &[SocketAddr], term: u64) {
+    /// Announces to `daemons` that this daemon leads in `term`. Failed calls are not retried here; the control logic
+    /// requests them again.
+    pub fn announce(&self, daemons: &[SocketAddr], term: u64) {
         self.shared.metrics.leader_calls.inc_by(daemons.len() as u64);
         for daemon in daemons.iter().copied() {
-            self.runtime.spawn(call(self.shared.clone(), daemon, term));
+            self.runtime.spawn(send_announcement(self.shared.clone(), daemon, term));
         }
     }
 }
 
-async fn call(shared: Arc<Shared>, daemon: SocketAddr, term: u64) {
+async fn send_announcement(shared: Arc<Shared>, daemon: SocketAddr, term: u64) {
     let leader = shared.settings.peer;
     let call =
         |client: PeerClient, context| async move { client.leader_elected(context, leader, term).await };
--- a/crates/daemon/src/control/delegation.rs
+++ b/crates/daemon/src/control/delegation.rs
@@ -1,4 +1,4 @@
-//! Reports to the leader which daemons have asked this voter for leases.
+//! Reports to the leader the daemons that requested leases from this voter.
 
 use super::ControlMessage;
 use crate::shared::Shared;
@@ -7,32 +7,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the leader may take: daemons give up an answer that takes some times as long.
+/// Time limit of a call: a fraction of the time after which daemons stop waiting for their lease.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Makes a voter's calls.
+/// Sends a voter's delegated lease requests to the leader.
 pub struct Delegation {
     shared: Arc<Shared>,
     runtime: tokio::runtime::Handle,
 }
 
 impl Delegation {
-    /// Calls are made on this runtime.
+    /// Creates a sender that makes its calls on `runtime`.
     pub fn new(shared: Arc<Shared>, runtime: tokio::runtime::Handle) -> Delegation {
         Delegation { shared, runtime }
     }
 
-    /// Makes the call with this number; what comes of it goes to the control thread.
+    /// Sends batch `number`; the result arrives as [`ControlMessage::Delegated`].
     pub fn send(&self, leader: SocketAddr, number: u64, requests: Vec<DelegatedRequest>) {
         let shared = self.shared.clone();
         self.runtime.spawn(async move {
-            let answer = call(&shared, leader, requests).await;
+            let answer = report_requests(&shared, leader, requests).await;
             shared.control.send(ControlMessage::Delegated { number, answer }).await;
         });
     }
 }
 
-async fn call(
+async fn report_requests(
     shared: &Shared,
     leader: SocketAddr,
     requests: Vec<DelegatedRequest>,
--- a/crates/daemon/src/control/group_orders.rs
+++ b/crates/daemon/src/control/group_orders.rs
@@ -1,5 +1,5 @@
-//! Sends group orders to servers, and asks instances whether they are alive. Each is sent once; whether an order is
-//! repeated is for the control thread to decide.
+//! Sends group orders to servers and probes instances. Nothing is retried here: the control thread decides whether an
+//! order is sent again.
 
 use super::ControlMessage;
 use crate::dialect::Dialect;
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a server may take to answer an order.
+/// Time limit for a server to answer an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an instance may take to answer a probe.
+/// Time limit for an instance to answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sends from the traffic runtime and reports back to the control thread.
+/// Sends orders and probes from the traffic runtime and reports the results to the control thread.
 #[derive(Clone)]
 pub struct GroupOrderSender {
     shared: Arc<Shared>,
@@ -27,7 +27,7 @@
 }
 
 impl GroupOrderSender {
-    /// A sender that works on the given runtime.
+    /// Creates a sender that makes its calls on `runtime`.
     pub fn new(
         shared: Arc<Shared>,
         dialect: Arc<dyn Dialect>,
@@ -42,12 +42,12 @@
         let sender = self.clone();
         self.runtime.spawn(async move {
             let answer = sender.post(&order).await;
-            sender.tell(&order, answer);
+            sender.log_answer(&order, answer);
             sender.shared.control.send(ControlMessage::GroupOrderAnswered(order, answer)).await;
         });
     }
 
-    fn tell(&self, order: &GroupOrder, answer: OrderAnswer) {
+    fn log_answer(&self, order: &GroupOrder, answer: OrderAnswer) {
         let line = OrderLine {
             order: format!("{:?}", order.command),
             instance: &order.instance,
@@ -73,39 +73,40 @@
         }
     }
 
-    /// Asks one instance; the result arrives as [`ControlMessage::Probed`].
+    /// Probes one instance; the result arrives as [`ControlMessage::Probed`].
     pub fn probe(&self, probe: InstanceProbe) {
         let sender = self.clone();
         self.runtime.spawn(async move {
-            let (result, slowness) = sender.ask(&probe).await;
+            let (result, slowness) = sender.send_probe(&probe).await;
             sender.shared.metrics.probes.with_label_values(&[&format!("{result:?}")]).inc();
             let instance = probe.instance;
             sender.shared.control.send(ControlMessage::Probed { instance, result, slowness }).await;
         });
     }
 
-    /// The instance that is asked. Questions are no requests, but a server that wants nothing is spared them, too; orders go
-    /// to it all the same, as groups have to be closed and left in time.
-    fn addressee(&self, probe: &InstanceProbe) -> SendTarget {
+    /// Returns the target of a probe for its [`SendPermit`]. A server on hold is not probed either. Orders are sent to it
+    /// regardless, because groups have to be closed and left in time.
+    fn probe_target(&self, probe: &InstanceProbe) -> SendTarget {
         let tables = self.shared.tables();
         let row = tables.gateway.instances.get(&probe.instance);
         row.map_or_else(|| SendTarget::named(&probe.instance, 1), |row| SendTarget::instance(row))
     }
 
-    /// What an answer shows of who gave it.
-    fn result_of(&self, response: &reqwest::Response, probe: &InstanceProbe) -> ProbeResult {
+    /// Classifies a response by the instance id in its headers.
+    fn classify_response(&self, response: &reqwest::Response, probe: &InstanceProbe) -> ProbeResult {
         match response.headers().get(self.dialect.headers().own_instance) {
             Some(id) if id.as_bytes() != probe.instance.as_bytes() => ProbeResult::OtherInstance,
-            // Without its id, nobody has said who answers there.
+            // Without an instance id, any process at that address may have answered.
             None if matches!(probe.question, ProbeQuestion::AnswersAt(_)) => ProbeResult::Silent,
             _ => ProbeResult::Answered,
         }
     }
 
-    /// What came of asking, and how many times its declared times the instance takes, where it tells.
-    async fn ask(&self, probe: &InstanceProbe) -> (ProbeResult, Option<f64>) {
-        let asked = SendPermit::acquire(&self.shared, self.addressee(probe), SendPurpose::Probe).await;
-        let Ok(mut permit) = asked else {
+    /// Sends a probe. Returns its result and the ratio of the instance's actual to its declared processing times, if it
+    /// reports one.
+    async fn send_probe(&self, probe: &InstanceProbe) -> (ProbeResult, Option<f64>) {
+        let acquired = SendPermit::acquire(&self.shared, self.probe_target(probe), SendPurpose::Probe).await;
+        let Ok(mut permit) = acquired else {
             return (ProbeResult::NotAsked, None);
         };
         let path = match &probe.question {
@@ -114,11 +115,11 @@
         };
         let url = format!("http://{}{path}", probe.address);
         match self.http.get(url).timeout(PROBE_TIMEOUT).send().await {
-            Ok(response) => match self.result_of(&response, probe) {
+            Ok(response) => match self.classify_response(&response, probe) {
                 ProbeResult::Answered => {
                     let names = &self.dialect.headers().signals;
                     permit.record_response(&signals_of(response.status(), response.headers(), names), "");
-                    // An answer whose body is lost shows a living server all the same.
+                    // A response shows that the server is alive even if its body is lost.
                     let body = response.bytes().await.unwrap_or_default();
                     (ProbeResult::Answered, self.dialect.report_slowness(&body))
                 }
--- a/crates/daemon/src/control/identity.rs
+++ b/crates/daemon/src/control/identity.rs
@@ -1,7 +1,7 @@
-//! Who this process is within the control group, kept in its data folder.
+//! Identity of this process within the control group, stored in its data folder.
 //!
-//! Invariant: an id belongs to one data folder. A process that finds its folder empty takes a new id, for what it
-//! promised under the old one is forgotten; it waits to be admitted by the others.
+//! Invariant: an id belongs to one data folder. A process whose folder is empty takes a new id, because it no
+//! longer knows its votes and acknowledgements under the old one, and waits until the other members admit it.
 
 use super::StartError;
 use crate::settings::Settings;
@@ -17,29 +17,32 @@
 pub struct Identity {
     /// Its id.
     pub id: NodeId,
-    /// The voters with which the group began, at a founding member; empty at one that joined later.
+    /// The initial voters of the group, at a founding member; empty at a member that joined later.
     pub founders: Vec<Voter>,
 }
 
 impl Identity {
-    /// The stored identity, or a new one that is stored first.
-    pub fn obtain(folder: &DataFolder, settings: &Settings) -> Result<Identity, StartError> {
+    /// Loads the stored identity, or generates and stores a new one.
+    pub fn load_or_create(folder: &DataFolder, settings: &Settings) -> Result<Identity, StartError> {
         if let Some(stored) = load_identity(folder)? {
             let decoded = postcard::from_bytes(&stored);
             let unknown = |error: postcard::Error| {
-                ApiError::new(ResultCode::FormatUnknown, format!("the identity file: {error}"))
+                ApiError::new(
+                    ResultCode::FormatUnknown,
+                    format!("failed to decode the identity file: {error}"),
+                )
             };
             return Ok(decoded.map_err(unknown)?);
         }
-        let identity = Identity::first(settings);
+        let identity = Identity::generate(settings);
         let encoded = postcard::to_stdvec(&identity).unwrap_or_default();
         store_identity(folder, &encoded)?;
         Ok(identity)
     }
 
-    /// A founder's identity follows from its address, so that all founders agree without a word; any other id is
-    /// drawn.
-    fn first(settings: &Settings) -> Identity {
+    /// Generates an identity. A founder's id is derived from its address, so that all founders compute the same set of
+    /// voters without communication; any other id is random.
+    fn generate(settings: &Settings) -> Identity {
         let seeds = &settings.seeds.peers;
         if settings.seeds.founding && seeds.contains(&settings.peer) {
             let founders: Vec<Voter> = seeds.iter().map(|seed| founder(*seed)).collect();
--- a/crates/daemon/src/control/lease_client.rs
+++ b/crates/daemon/src/control/lease_client.rs
@@ -1,4 +1,4 @@
-//! Asks the leader for this daemon's configuration lease, over and over.
+//! Renews this daemon's configuration lease at the leader.
 
 use super::ControlMessage;
 use super::lease_path::LeasePath;
@@ -14,36 +14,36 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// How long an answer may take.
+/// Time limit for the answer to a lease request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(LEASE_ANSWER_TIMEOUT_MS);
-/// How long a copy of the state may take from another daemon.
+/// Time limit for fetching a snapshot of the state from another daemon.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(FETCH_TIMEOUT_MS);
-/// Pause after a request that nobody could answer.
+/// Pause after a failed or refused request.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// A voter waits this long for the log to bring what the lease speaks of.
-const CATCH_UP: Duration = Duration::from_millis(200);
-/// Time between looks at whether the lease still holds.
-const LEASE_CHECK: Duration = Duration::from_millis(50);
+/// Time limit for a member of the control group to apply the revision of its lease from the replicated log.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time between checks whether the lease is still valid.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Renews the lease for ever.
+/// Renews the lease for the life of the process.
 pub async fn run_lease_client(shared: Arc<Shared>) {
     tokio::spawn(report_lease_changes(shared.clone()));
     let mut path = LeasePath::new(&shared);
-    let mut news = shared.known_leader.watch();
+    let mut leader_changes = shared.known_leader.watch();
     loop {
-        news.mark_unchanged();
+        leader_changes.mark_unchanged();
         let target = path.next(&shared);
         let sent_at = monotonic_ms();
-        let asked = tokio::select! {
-            asked = ask(&shared, target) => asked,
-            // What the leader answers to a request from before is too old.
-            () = shared.wakefulness.woken() => continue,
-            // The member that is asked now may be gone, and its answer time out.
-            () = other_leader(&shared, &mut news, target) => continue,
-            // The leader must learn of a planned stop at once.
-            () = shared.leaving_begun() => ask(&shared, target).await,
+        let answer = tokio::select! {
+            answer = request_lease(&shared, target) => answer,
+            // The answer to a request from before the pause is outdated.
+            () = shared.wakefulness.resumed() => continue,
+            // The current target may be down, and waiting for it would end in a timeout.
+            () = other_leader_known(&shared, &mut leader_changes, target) => continue,
+            // The leader must learn of a graceful shutdown at once.
+            () = shared.leaving_begun() => request_lease(&shared, target).await,
         };
-        match asked {
+        match answer {
             Ok(LeaseAnswer::Granted {
                 term,
                 leader,
@@ -60,10 +60,10 @@
                     shared.known_leader.set_ask_first(target);
                 }
                 path.granted(target, ask_next);
-                let content = fetched(&shared, content).await;
+                let content = resolve_content(&shared, content).await;
                 let lease = GrantedLease { in_force_revision, content };
-                if apply(&shared, lease, revision).await {
-                    // Only now: a lease must not be used with a configuration older than the one it brought.
+                if apply_lease(&shared, lease, revision).await {
+                    // Not before the content is applied: a lease must not be used with a configuration older than its own.
                     shared.extend_lease(sent_at);
                 }
                 shared.set_leader_term(term);
@@ -81,19 +81,19 @@
     }
 }
 
-/// Completes once a leader other than `asked` makes itself known.
-async fn other_leader(shared: &Shared, news: &mut watch::Receiver<u64>, asked: SocketAddr) {
+/// Completes once a leader other than `target` announces itself.
+async fn other_leader_known(shared: &Shared, leader_changes: &mut watch::Receiver<u64>, target: SocketAddr) {
     loop {
-        if news.changed().await.is_err() {
+        if leader_changes.changed().await.is_err() {
             return std::future::pending().await;
         }
-        if shared.leader() != Some(asked) {
+        if shared.leader() != Some(target) {
             return;
         }
     }
 }
 
-async fn ask(shared: &Shared, target: SocketAddr) -> Result<LeaseAnswer, PeerFailure> {
+async fn request_lease(shared: &Shared, target: SocketAddr) -> Result<LeaseAnswer, PeerFailure> {
     let request = LeaseRequest {
         daemon: shared.record(),
         incarnation: shared.incarnation,
@@ -110,9 +110,9 @@
     shared.peers.call(target, ANSWER_TIMEOUT, call).await
 }
 
-/// The content of a lease; what another daemon holds is fetched from it. Where that fails, nothing comes, and the leader
-/// is asked again.
-async fn fetched(shared: &Shared, content: LeaseContent) -> LeaseContent {
+/// Returns the content of a lease, fetching the snapshot from another daemon if the leader refers to one. If that fails,
+/// the content is empty, and the next request to the leader tries again.
+async fn resolve_content(shared: &Shared, content: LeaseContent) -> LeaseContent {
     let LeaseContent::Fetch { from } = content else { return content };
     let call =
         |client: dockwood_api::peer::PeerClient, context| async move { client.fetch_state(context).await };
@@ -126,22 +126,22 @@
     }
 }
 
-/// Hands the content to the control thread; true once this daemon has applied what the lease brought.
-async fn apply(shared: &Shared, lease: GrantedLease, revision: u64) -> bool {
+/// Passes the lease to the control thread; returns true once this daemon has applied its revision.
+async fn apply_lease(shared: &Shared, lease: GrantedLease, revision: u64) -> bool {
     let (reply, applied) = oneshot::channel();
     shared.control.send(ControlMessage::LeaseGranted { lease, reply }).await;
     let Ok(applied) = applied.await else { return false };
-    let by_log = shared.settings.is_control_member();
-    applied >= revision || (by_log && shared.wait_for_revision(revision, CATCH_UP).await)
+    let applies_log = shared.settings.is_control_member();
+    applied >= revision || (applies_log && shared.wait_for_revision(revision, CATCH_UP_TIMEOUT).await)
 }
 
 async fn report_lease_changes(shared: Arc<Shared>) {
     let mut held = false;
     loop {
         let holds = shared.holds_lease();
-        if let Some(still_ms) = shared.wakefulness.take_untold() {
+        if let Some(paused_ms) = shared.wakefulness.take_unreported_pause() {
             let subject = Subject::new("daemon", &shared.settings.name);
-            let message = format!("this process did not run for {still_ms} ms");
+            let message = format!("this process did not run for {paused_ms} ms");
             shared.timeline.record(subject, "StoodStill", &message, None, ResultCode::Ok);
         }
         if holds != held {
@@ -152,6 +152,6 @@
             shared.timeline.record(subject, reason, "", None, code);
             shared.metrics.lease_held.set(i64::from(holds));
         }
-        tokio::time::sleep(LEASE_CHECK).await;
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -1,36 +1,36 @@
-//! Where a daemon asks for its lease: the leader, or another daemon that passes the request on while no member of the
-//! control group can be reached.
+//! Selects the daemon that a lease request is sent to: the leader, or another daemon that relays the request while no
+//! member of the control group can be reached.
 
 use crate::clock::monotonic_ms;
 use crate::peer::{Targets, pick_relay};
 use crate::shared::Shared;
 use std::net::SocketAddr;
 
-/// Time since the last grant after which another daemon is asked, in milliseconds: longer than one request may take, and
-/// short enough that the lease is renewed before the leader takes this daemon for silent.
+/// Time since the last grant after which a relay is used, in milliseconds: longer than the time limit of one request, and
+/// short enough to renew the lease before the leader considers this daemon silent.
 const RELAY_AFTER_MS: u64 = 700;
-/// Time between two attempts to reach the leader itself while another daemon passes requests on, in milliseconds.
-const DIRECT_EVERY_MS: u64 = 2_000;
+/// Time between two attempts to reach the leader directly while a relay is in use, in milliseconds.
+const DIRECT_INTERVAL_MS: u64 = 2_000;
 
-/// Time for which a voter that granted nothing is not asked again, in milliseconds, though the leader names it: the path to
-/// it may be cut for this daemon alone.
+/// Time for which a voter that failed to grant the lease is avoided, in milliseconds, even if the leader recommends it: a
+/// network partition may separate it from this daemon only.
 const AVOIDED_FOR_MS: u64 = 5_000;
 
-/// The path to the leader.
+/// The current path to the leader.
 pub struct LeasePath {
     targets: Targets,
-    /// The daemon that passed the last request on.
+    /// The daemon that relayed the last granted request.
     relay: Option<SocketAddr>,
     granted_at: u64,
-    /// When the leader itself is to be asked again.
+    /// Time of the next attempt to reach the leader directly.
     direct_at: u64,
     asked_directly: bool,
-    /// The member that last granted nothing, and until when it is not asked on another one's word.
+    /// The member that last failed to grant the lease, and until when recommendations of it are ignored.
     avoided: Option<(SocketAddr, u64)>,
 }
 
 impl LeasePath {
-    /// A path that begins with the last known leader.
+    /// Creates a path that starts with the last known leader.
     pub fn new(shared: &Shared) -> Self {
         let now = monotonic_ms();
         LeasePath {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whom to ask next.
+    /// Returns the target of the next request.
     pub fn next(&mut self, shared: &Shared) -> SocketAddr {
         let now = monotonic_ms();
         if let Some(leader) = self.targets.take_news(shared) {
@@ -51,24 +51,25 @@
             self.asked_directly = true;
             return leader;
         }
-        let is_cut_off = now >= self.granted_at + RELAY_AFTER_MS;
+        let is_overdue = now >= self.granted_at + RELAY_AFTER_MS;
         let wants_relay = match self.relay {
             Some(_) => now < self.direct_at,
-            // In turns: the next leader may be any member.
-            None => is_cut_off && self.asked_directly && !shared.settings.is_control_member(),
+            // Alternates between a relay and the members, as any member may be the next leader.
+            None => is_overdue && self.asked_directly && !shared.settings.is_control_member(),
         };
         let relay = wants_relay.then(|| self.relay.or_else(|| pick_relay(shared))).flatten();
         self.asked_directly = relay.is_none();
         match relay {
             Some(relay) => relay,
             None => {
-                self.direct_at = now + DIRECT_EVERY_MS;
+                self.direct_at = now + DIRECT_INTERVAL_MS;
                 self.targets.next(shared)
             }
         }
     }
 
-    /// The lease was granted by `target`, or through it; `ask_next` is the voter to ask from now on.
+    /// Records that the lease was granted by `target` or relayed by it; `ask_next` is the voter that the leader recommends
+    /// for the next requests.
     pub fn granted(&mut self, target: SocketAddr, ask_next: Option<SocketAddr>) {
         let now = monotonic_ms();
         self.granted_at = now;
@@ -83,15 +84,15 @@
         }
     }
 
-    /// Whether the last request went to the leader, or to a member as the leader.
+    /// Returns whether the last request was sent directly to the presumed leader and not to a relay.
     pub fn asked_directly(&self) -> bool {
         self.asked_directly
     }
 
-    /// `target` doesn't lead, and names the leader if it knows it.
+    /// Records that `target` does not lead, and the leader that it named, if any.
     pub fn refused(&mut self, target: SocketAddr, leader: Option<SocketAddr>) {
         if self.asked_directly {
-            // Without a leader there is nobody to ask instead: it will grant again once there is one.
+            // If there is no leader, `target` is not avoided: it can grant the lease again once one is elected.
             if leader.is_some() {
                 self.avoid(target);
             }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// `target` didn't answer.
+    /// Records that `target` did not answer.
     pub fn failed(&mut self, target: SocketAddr) {
         if self.asked_directly {
             self.avoid(target);
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread and what reaches it. The logic is in `dockwood-control`; here it gets its clocks, disk
-//! and network. It is one thread with its own runtime; what it decides is published for the traffic threads.
+//! The control thread and its message queue. The control logic is in `dockwood-control`; this module drives it with
+//! clocks, disk and network. The thread has its own runtime and publishes its state for the traffic threads.
 
 mod admission;
 mod announcer;
@@ -25,7 +25,7 @@
 pub use pulse::run_pulse;
 pub use reply::Reply;
 pub use thread::{ControlThread, StartedControl, run_control_thread};
-pub use turn::{TurnClock, Work};
+pub use turn::{TurnTimer, WorkKind};
 pub use voter_disk::StartError;
 
 use dockwood_api::engine::PlatformMachine;
@@ -40,10 +40,10 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may wait for the control thread.
-const CONTROL_QUEUE: usize = 8_192;
+/// Capacity of the control thread's message queue.
+const CONTROL_QUEUE_CAPACITY: usize = 8_192;
 
-/// What reaches the control thread.
+/// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
     /// Messages of the consensus group.
@@ -55,49 +55,49 @@
     Submit {
         /// Encoded command.
         command: Vec<u8>,
-        /// For the result.
+        /// Receives the result.
         reply: oneshot::Sender<SubmitReply>,
     },
-    /// A daemon asks for its lease.
+    /// A daemon requests its lease.
     Lease {
         /// The request.
         request: LeaseRequest,
-        /// For the answer, which may be held back until there is news.
+        /// Receives the answer, which may be delayed until there are changes to report (long polling).
         reply: oneshot::Sender<LeaseAnswer>,
     },
-    /// A voter reports which daemons have asked it for leases.
+    /// A voter reports the daemons that requested leases from it.
     Delegate {
-        /// What they asked.
+        /// The requests.
         requests: Vec<DelegatedRequest>,
-        /// For the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<DelegationAnswer>,
     },
-    /// The leader answered this voter's message on leases, or did not.
+    /// The result of reporting delegated lease requests to the leader.
     Delegated {
-        /// Number of the message.
+        /// Number of the batch.
         number: u64,
         /// `None` if there was no answer in time.
         answer: Option<DelegationAnswer>,
     },
-    /// A daemon reports its findings.
+    /// A daemon reports its observations.
     Observe {
-        /// The leader term that it speaks to.
+        /// The leader term that they are addressed to.
         term: u64,
-        /// Its findings.
+        /// The observations.
         observations: Vec<Observation>,
-        /// True if this daemon leads that term.
+        /// Receives true if this daemon leads in that term.
         reply: oneshot::Sender<bool>,
     },
-    /// Somebody asks for the leader's view.
+    /// A request for the leader's view.
     View {
-        /// For the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<ControlAnswer>,
     },
     /// This daemon was granted a lease.
     LeaseGranted {
-        /// What came with it.
+        /// The lease and its content.
         lease: GrantedLease,
-        /// For the revision that is applied afterwards.
+        /// Receives the applied revision once the content is applied and published.
         reply: oneshot::Sender<u64>,
     },
     /// A machine answered an order.
@@ -109,38 +109,38 @@
         /// Whether it was carried out.
         done: bool,
     },
-    /// A server reports.
+    /// A server's report on itself.
     Register {
         /// The report.
         report: InstanceReport,
-        /// For the result.
+        /// Receives the result.
         reply: oneshot::Sender<SubmitReply>,
     },
-    /// An entry reports its load.
+    /// An entry's load report.
     ExchangeLoad {
         /// The report.
         report: LoadReport,
-        /// `None` if this daemon does not lead.
+        /// Receives the digest; `None` if this daemon does not lead.
         reply: oneshot::Sender<Option<LoadDigest>>,
     },
-    /// An entry asks for a place at a group.
+    /// An entry requests a place in a group.
     AssignPlace {
-        /// What it asks for.
+        /// The request.
         request: PlaceRequest,
-        /// `None` if this daemon does not lead.
+        /// Receives the place; `None` if this daemon does not lead.
         reply: oneshot::Sender<Option<PlaceReply>>,
     },
-    /// The servers that have named limits for some time, all of them.
+    /// The complete set of servers whose rate limits have persisted for some time.
     ServerLimits(Vec<ServerLimit>),
-    /// A server answered a group order, or did not.
+    /// The result of a group order.
     GroupOrderAnswered(Box<GroupOrder>, OrderAnswer),
-    /// An instance was asked whether it is alive.
+    /// The result of a probe.
     Probed {
         /// Instance id.
         instance: String,
-        /// What came of it.
+        /// The result.
         result: ProbeResult,
-        /// How many times its declared times it takes, if it reported that.
+        /// Ratio of its actual to its declared processing times, if it reported one.
         slowness: Option<f64>,
     },
     /// A process asks to become a voter.
@@ -151,44 +151,44 @@
         address: SocketAddr,
         /// Its zone.
         zone: String,
-        /// For the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<AdmitAnswer>,
     },
-    /// The voters as the leader sent them.
+    /// The voters, as received from the leader.
     LearnVoters(Vec<VoterRecord>),
-    /// Somebody asks for the revision of a current read.
+    /// A request for the revision at which a read is current.
     ReadRevision {
-        /// For the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<ReadAnswer>,
     },
-    /// A daemon that lags asks for a copy of the state.
+    /// A lagging daemon requests a snapshot of the state.
     CopyState {
-        /// `None` if there is no state yet.
+        /// Receives the snapshot; `None` if there is no state yet.
         reply: oneshot::Sender<Option<Vec<u8>>>,
     },
-    /// The thread that takes calls is at work.
+    /// Sent at a fixed interval by the runtime that receives calls; see [`run_pulse`].
     Pulse,
-    /// The platform's list was read.
+    /// The platform's list of machines.
     PlatformList(Vec<PlatformMachine>),
-    /// The process stops: flush and end.
+    /// Ends the control thread.
     Stop,
 }
 
-/// Sends messages to the control thread.
+/// Sending half of the control thread's message queue.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     sender: mpsc::Sender<ControlMessage>,
 }
 
 impl ControlHandle {
-    /// A handle and the control thread's end of it.
+    /// Creates the message queue and returns both of its ends.
     pub fn new() -> (ControlHandle, mpsc::Receiver<ControlMessage>) {
-        let (sender, receiver) = mpsc::channel(CONTROL_QUEUE);
+        let (sender, receiver) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
         (ControlHandle { sender }, receiver)
     }
 
-    /// Sends a message; waits while the queue is full. A message to an ended control thread is dropped, and
-    /// the receiver of its reply sees the channel close.
+    /// Sends a message; waits while the queue is full. If the control thread has ended, the message is dropped, which
+    /// closes its reply channel.
     pub async fn send(&self, message: ControlMessage) {
         let _ = self.sender.send(message).await;
     }
--- a/crates/daemon/src/control/orders.rs
+++ b/crates/daemon/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Sends fenced orders to machines. An order is in the log before it is sent, and is repeated until answered.
+//! Sends fenced orders to machines. An order is committed to the log before it is sent, and is retried until answered.
 
 use super::ControlMessage;
 use crate::clock::monotonic_ms;
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a machine may take to answer one call.
+/// Time limit of one call to a machine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time between looks at an order that is being carried out.
-const POLL_EVERY: Duration = Duration::from_millis(100);
-/// An order is followed this long by one task; then the control thread decides anew.
-const FOLLOW_FOR: Duration = Duration::from_secs(20);
+/// Time between polls of an order that is being carried out.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit of one task that follows an order; after it, the control thread decides how to go on.
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends orders from the traffic runtime and reports back to the control thread.
+/// Sends orders from the traffic runtime and reports the results to the control thread.
 #[derive(Clone)]
 pub struct OrderSender {
     shared: Arc<Shared>,
@@ -26,36 +26,37 @@
     runtime: tokio::runtime::Handle,
 }
 
-/// One order on its way.
+/// An order with what is needed to deliver it.
 struct Delivery {
     order: EngineOrder,
     server: String,
     address: SocketAddr,
     checks_fences: bool,
-    /// Until when this daemon surely leads; a machine that doesn't check fences gets nothing after that.
+    /// End of the time for which this daemon is certain to lead; a machine that doesn't check fences is sent no order after
+    /// that.
     lease_until: Millis,
 }
 
 impl OrderSender {
-    /// A sender that works on the given runtime.
+    /// Creates a sender that makes its calls on `runtime`.
     pub fn new(shared: Arc<Shared>, http: reqwest::Client, runtime: tokio::runtime::Handle) -> Self {
         OrderSender { shared, http, runtime }
     }
 
-    /// Sends one order and follows it; the result arrives as [`ControlMessage::OrderAnswered`].
+    /// Sends one order and follows its progress; the result arrives as [`ControlMessage::OrderAnswered`].
     pub fn send(&self, to_send: OrderToSend) {
         let OrderToSend { order: row, address, checks_fences, lease_until } = to_send;
         let order = EngineOrder { id: row.id, fence: row.fence, action: row.action };
         let delivery = Delivery { order, server: row.server, address, checks_fences, lease_until };
         let sender = self.clone();
         self.runtime.spawn(async move {
-            let done = tokio::time::timeout(FOLLOW_FOR, sender.follow(&delivery)).await.unwrap_or(false);
+            let done = tokio::time::timeout(FOLLOW_TIMEOUT, sender.follow(&delivery)).await.unwrap_or(false);
             let (server, fence) = (delivery.server, delivery.order.fence);
             sender.shared.control.send(ControlMessage::OrderAnswered { server, fence, done }).await;
         });
     }
 
-    /// True once the machine has carried the order out; false if it refused or did not answer.
+    /// Returns true once the machine has carried out the order, and false if it rejected the order or did not answer.
     async fn follow(&self, delivery: &Delivery) -> bool {
         loop {
             let may_send = delivery.checks_fences || monotonic_ms() < delivery.lease_until;
@@ -67,7 +68,7 @@
                     return self.is_in_effect(delivery).await;
                 }
                 Some(OrderReply { progress: OrderProgress::Working, .. }) => {
-                    tokio::time::sleep(POLL_EVERY).await
+                    tokio::time::sleep(POLL_INTERVAL).await
                 }
                 Some(OrderReply { progress: OrderProgress::Fenced, .. }) | None => return false,
             }
@@ -80,7 +81,8 @@
         response.json().await.ok()
     }
 
-    /// A machine that doesn't check fences may have carried out an older order since: its state is read back.
+    /// Returns whether the order is in effect. A machine that doesn't check fences may have carried out an older order since,
+    /// so its state is read back.
     async fn is_in_effect(&self, delivery: &Delivery) -> bool {
         if delivery.checks_fences {
             return true;
--- a/crates/daemon/src/control/outbox.rs
+++ b/crates/daemon/src/control/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages to the other members of the control group.
+//! Sends consensus messages to the other members of the control group.
 
 use crate::shared::Shared;
 use dockwood_api::peer::PeerClient;
@@ -10,50 +10,49 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one peer; when it is full, messages are lost, which consensus survives.
-pub const OUTBOX: usize = 1_024;
-/// Messages of one call, at most.
-const BATCH: usize = 64;
-/// Size from which on no further message joins a call, in bytes: one message may itself be as large.
-const ENOUGH_BYTES: usize = 256 << 10;
-/// How long a peer may take for a call without content.
-const SEND_TIMEOUT: Duration = Duration::from_millis(400);
-/// What each millisecond of the time allowed is good for beyond that, in bytes: a tenth of a link of 100 Mbit/s, which may
-/// be busy with copies of the state.
+/// Capacity of one peer's queue. Messages that exceed it are dropped, which the consensus protocol tolerates.
+pub const OUTBOX_CAPACITY: usize = 1_024;
+/// Maximum number of messages in one call.
+const MAX_BATCH_MESSAGES: usize = 64;
+/// Size of a batch at which no further message is added, in bytes. A single message may exceed it.
+const BATCH_TARGET_BYTES: usize = 256 << 10;
+/// Time limit of a call with an empty body.
+const BASE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Bytes of the body for each additional millisecond of the time limit: a tenth of a link of 100 Mbit/s, which may be busy
+/// with snapshots of the state.
 const BYTES_PER_MS: usize = 1_250;
 
-/// Sends one peer's messages, as many as wait in one call, for ever.
+/// Sends the queued messages for one peer in batches, until the queue is closed.
 pub async fn run_outbox(shared: Arc<Shared>, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
     loop {
         let Some(batch) = next_batch(&mut messages).await else { return };
         let encoded = encode_messages(&batch);
-        let allowed = SEND_TIMEOUT + Duration::from_millis((encoded.len() / BYTES_PER_MS) as u64);
+        let timeout = BASE_TIMEOUT + Duration::from_millis((encoded.len() / BYTES_PER_MS) as u64);
         let call = |client: PeerClient, context| async move { client.consensus(context, encoded).await };
-        if shared.voter_peers.call(address, allowed, call).await.is_err() {
+        if shared.voter_peers.call(address, timeout, call).await.is_err() {
             shared.metrics.peer_failures.inc();
         }
     }
 }
 
-/// Messages as they are sent: a large configuration takes a third of its room, and less of the time in which a leader must
-/// be heard.
+/// Encodes and compresses messages: a large configuration shrinks to a third, which delays the leader's heartbeats less.
 fn encode_messages(messages: &[Message]) -> Vec<u8> {
-    // Writing these types to memory can't fail: they hold no maps with unknown length and no foreign code.
+    // Encoding can't fail: these types contain no maps of unknown length and no custom `Serialize` implementations.
     compress(&postcard::to_stdvec(messages).unwrap_or_default())
 }
 
-/// Reads what [`encode_messages`] wrote.
+/// Decodes the output of [`encode_messages`].
 pub fn decode_messages(bytes: &[u8]) -> Result<Vec<Message>, ApiError> {
     let encoded = decompress(bytes)?;
     let unknown = |error: postcard::Error| ApiError::new(ResultCode::FormatUnknown, error.to_string());
     postcard::from_bytes(&encoded).map_err(unknown)
 }
 
-/// The messages of the next call; `None` once there will be no more.
+/// Waits for the messages of the next call; `None` once the queue is closed.
 async fn next_batch(messages: &mut mpsc::Receiver<Message>) -> Option<Vec<Message>> {
     let mut batch = vec![messages.recv().await?];
     let mut bytes = batch[0].payload_bytes();
-    while batch.len() < BATCH && bytes < ENOUGH_BYTES {
+    while batch.len() < MAX_BATCH_MESSAGES && bytes < BATCH_TARGET_BYTES {
         let Ok(message) = messages.try_recv() else { break };
         bytes += message.payload_bytes();
         batch.push(message);
--- a/crates/daemon/src/control/pulse.rs
+++ b/crates/daemon/src/control/pulse.rs
@@ -1,4 +1,4 @@
-//! Shows the control thread that this process takes calls in time.
+//! Lets the control thread measure how late the calls to this process are handled.
 
 use super::ControlMessage;
 use crate::shared::Shared;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::time::MissedTickBehavior;
 
-/// Sends pulses for ever, from the runtime that takes other daemons' calls.
+/// Sends pulses at a fixed interval, from the runtime that receives other daemons' calls.
 pub async fn run_pulse(shared: Arc<Shared>) {
     let mut ticks = tokio::time::interval(Duration::from_millis(PULSE_INTERVAL_MS));
-    // Of pulses that were held up, one is enough.
+    // After a delay, one pulse is enough.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/daemon/src/control/reply.rs
+++ b/crates/daemon/src/control/reply.rs
@@ -1,4 +1,4 @@
-//! Ways to answer callers that wait for the control thread. An answer to a caller that is gone is dropped.
+//! Reply handles of callers that wait for the control thread. A reply to a caller that has gone is dropped.
 
 use dockwood_api::gateway::{LoadDigest, PlaceReply};
 use dockwood_api::peer::{
@@ -6,29 +6,29 @@
 };
 use tokio::sync::oneshot;
 
-/// One waiting caller.
+/// Reply handle of a waiting caller.
 #[derive(Debug)]
 pub enum Reply {
     /// Of a submitted command.
     Submit(oneshot::Sender<SubmitReply>),
     /// Of a lease request.
     Lease(oneshot::Sender<LeaseAnswer>),
-    /// Of a voter that grants leases in the leader's name.
+    /// Of a voter that grants leases on behalf of the leader.
     Delegation(oneshot::Sender<DelegationAnswer>),
     /// Of an observation.
     Observe(oneshot::Sender<bool>),
     /// Of the leader's view.
     View(oneshot::Sender<ControlAnswer>),
-    /// Of an entry's load.
+    /// Of an entry's load report.
     Load(oneshot::Sender<Option<LoadDigest>>),
-    /// Of an entry that asks for a place.
+    /// Of an entry that requests a place.
     Place(oneshot::Sender<Option<PlaceReply>>),
     /// Of a process that asks to become a voter.
     Admit(oneshot::Sender<AdmitAnswer>),
     /// Of a request for the revision of a current read.
     Read(oneshot::Sender<ReadAnswer>),
-    /// Of a daemon that asks for a copy of the state.
-    Copy(oneshot::Sender<Option<Vec<u8>>>),
+    /// Of a daemon that requests a snapshot of the state.
+    Snapshot(oneshot::Sender<Option<Vec<u8>>>),
 }
 
 impl Reply {
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Answers a daemon that asks for a copy of the state.
-    pub fn copy(self, copy: Option<Vec<u8>>) {
-        if let Reply::Copy(reply) = self {
-            let _ = reply.send(copy);
+    /// Answers a daemon that requests a snapshot of the state.
+    pub fn snapshot(self, snapshot: Option<Vec<u8>>) {
+        if let Reply::Snapshot(reply) = self {
+            let _ = reply.send(snapshot);
         }
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Answers a voter that grants leases in the leader's name.
+    /// Answers a voter that grants leases on behalf of the leader.
     pub fn delegation(self, answer: DelegationAnswer) {
         if let Reply::Delegation(reply) = self {
             let _ = reply.send(answer);
@@ -61,20 +61,20 @@
     }
 
     /// Answers an observation.
-    pub fn observe(self, taken: bool) {
+    pub fn observe(self, accepted: bool) {
         if let Reply::Observe(reply) = self {
-            let _ = reply.send(taken);
+            let _ = reply.send(accepted);
         }
     }
 
-    /// Answers an entry's load.
+    /// Answers an entry's load report.
     pub fn load(self, digest: Option<LoadDigest>) {
         if let Reply::Load(reply) = self {
             let _ = reply.send(digest);
         }
     }
 
-    /// Answers an entry that asks for a place.
+    /// Answers an entry that requests a place.
     pub fn place(self, place: Option<PlaceReply>) {
         if let Reply::Place(reply) = self {
             let _ = reply.send(place);
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -1,10 +1,10 @@
-//! The control thread: drives the pure control node against clocks, disk and network.
+//! The control thread: drives the control logic with clocks, disk and network.
 
 use super::announcer::Announcer;
 use super::delegation::Delegation;
 use super::identity::Identity;
-use super::outbox::{OUTBOX, decode_messages};
-use super::turn::{TurnClock, Work};
+use super::outbox::{OUTBOX_CAPACITY, decode_messages};
+use super::turn::{TurnTimer, WorkKind};
 use super::voter_disk::{StartError, VoterDisk};
 use super::{ControlMessage, GroupOrderSender, OrderSender, Reply, run_outbox};
 use crate::clock::{monotonic_ms, wall_ms};
@@ -25,20 +25,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Time between ticks of a voter.
-const VOTER_TICK: Duration = Duration::from_millis(20);
+/// Time between ticks of a member of the control group.
+const VOTER_TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between ticks of any other daemon.
-const FOLLOWER_TICK: Duration = Duration::from_millis(250);
-/// Messages taken at once; their commands share one synced write.
-const BATCH: usize = 512;
-/// Shortest time without a leader before an election, in milliseconds.
+const FOLLOWER_TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of messages handled in one turn; their commands share one synced write.
+const MAX_BATCH_MESSAGES: usize = 512;
+/// Minimum time without a leader before an election, in milliseconds.
 const ELECTION_TIMEOUT_MS: u64 = 500;
-/// Time between a leader's messages to an idle follower, in milliseconds.
+/// Interval of a leader's heartbeats to an idle follower, in milliseconds.
 const HEARTBEAT_MS: u64 = 100;
-/// Payload of one append message, in bytes.
+/// Maximum payload of one append message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A control node with its disk.
+/// A control node with its persistent storage.
 pub struct StartedControl {
     node: ControlNode<Reply>,
     disk: Option<VoterDisk>,
@@ -48,7 +48,7 @@
 }
 
 impl StartedControl {
-    /// Builds the control node; at a member of the control group, from its data folder.
+    /// Creates the control node; at a member of the control group, restores it from its data folder.
     pub fn open(settings: &Settings, metrics: &Metrics) -> Result<StartedControl, StartError> {
         if !settings.is_control_member() {
             let node = ControlNode::follower(&settings.name);
@@ -57,8 +57,8 @@
         let folder = settings.data_folder.clone().unwrap_or_default();
         let found = VoterDisk::open(&folder, metrics.clone())?;
         let identity = match settings.own_voter() {
-            Some(own) => Identity { id: own.id, founders: listed_voters(settings) },
-            None => Identity::obtain(found.disk.folder(), settings)?,
+            Some(own) => Identity { id: own.id, founders: configured_voters(settings) },
+            None => Identity::load_or_create(found.disk.folder(), settings)?,
         };
         let mut voters = identity.founders.clone();
         voters.extend(voters_of(&found.state));
@@ -77,18 +77,18 @@
         };
         let core = Node::new(core_settings, found.recovered, monotonic_ms());
         let addresses = voters.iter().map(|voter| (voter.id, voter.address)).collect();
-        let bounds = settings.gateway.as_ref().map(|gateway| GroupingPolicy {
+        let policy = settings.gateway.as_ref().map(|gateway| GroupingPolicy {
             stall_ms: gateway.stall.as_millis() as u64,
             drain_ms: gateway.drain.as_millis() as u64,
             heartbeat: gateway.heartbeat,
         });
-        let grouping = bounds.unwrap_or_default();
+        let grouping = policy.unwrap_or_default();
         let target_voters = voters_for_losses(settings.seeds.losses_tolerated).max(settings.voters.len());
         let node = ControlNode::voter(&settings.name, found.state, core, addresses).with_options(Options {
             grouping,
             cold_limit: settings.cold_limit(),
             target_voters,
-            tolerates_zone_loss: settings.seeds.bears_zone_loss,
+            tolerates_zone_loss: settings.seeds.tolerates_zone_loss,
             leader_leases_up_to: settings.leader_leases_up_to,
             ..Options::default()
         });
@@ -96,11 +96,11 @@
     }
 }
 
-fn listed_voters(settings: &Settings) -> Vec<Voter> {
+fn configured_voters(settings: &Settings) -> Vec<Voter> {
     settings.voters.iter().map(|voter| Voter { id: voter.id, address: voter.peer }).collect()
 }
 
-/// Ways to the other voters; one is made for each voter when it is first known.
+/// Outboxes of the other voters; each is created when its voter becomes known.
 struct Outboxes {
     own_id: Option<NodeId>,
     senders: BTreeMap<NodeId, mpsc::Sender<Message>>,
@@ -109,13 +109,13 @@
 }
 
 impl Outboxes {
-    /// Makes a way to each voter that has none.
-    fn learn(&mut self, voters: &[Voter]) {
+    /// Creates an outbox for each voter that has none.
+    fn add_voters(&mut self, voters: &[Voter]) {
         for voter in voters.iter().filter(|voter| Some(voter.id) != self.own_id) {
             if self.senders.contains_key(&voter.id) {
                 continue;
             }
-            let (sender, receiver) = mpsc::channel(OUTBOX);
+            let (sender, receiver) = mpsc::channel(OUTBOX_CAPACITY);
             self.senders.insert(voter.id, sender);
             self.runtime.spawn(run_outbox(self.shared.clone(), voter.address, receiver));
         }
@@ -123,7 +123,7 @@
 
     fn send(&self, message: Message) {
         if let Some(outbox) = self.senders.get(&message.to) {
-            // A full outbox loses the message, as a network may.
+            // A full outbox drops the message, which the consensus protocol tolerates like packet loss.
             let _ = outbox.try_send(message);
         }
     }
@@ -140,25 +140,25 @@
     group_orders: GroupOrderSender,
     announcer: Announcer,
     delegation: Delegation,
-    turns: TurnClock,
+    turns: TurnTimer,
     stopping: bool,
 }
 
-/// Runs the control thread until it is asked to stop. A disk that fails is final: what it holds is unknown, so
-/// the process must not go on.
+/// Runs the control thread until it is asked to stop. A disk error is fatal: the content of the disk is unknown after it,
+/// so the process must not continue.
 pub async fn run_control_thread(mut control: ControlThread) -> Result<(), StorageError> {
-    let tick_every = if control.disk.is_some() { VOTER_TICK } else { FOLLOWER_TICK };
-    let mut ticks = tokio::time::interval(tick_every);
+    let tick_interval = if control.disk.is_some() { VOTER_TICK_INTERVAL } else { FOLLOWER_TICK_INTERVAL };
+    let mut ticks = tokio::time::interval(tick_interval);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut received = Vec::new();
     control.publish();
     while !control.stopping {
         tokio::select! {
-            count = control.messages.recv_many(&mut received, BATCH) => {
+            count = control.messages.recv_many(&mut received, MAX_BATCH_MESSAGES) => {
                 if count == 0 {
                     return Ok(());
                 }
-                control.take(std::mem::take(&mut received))?;
+                control.handle_messages(std::mem::take(&mut received))?;
             }
             _ = ticks.tick() => control.step(Input::Tick)?,
         }
@@ -169,7 +169,7 @@
 }
 
 impl ControlThread {
-    /// A control thread over a started node.
+    /// Creates the control thread of a started node; `voter_links` is the runtime for messages to the other voters.
     pub fn new(
         shared: Arc<Shared>,
         messages: mpsc::Receiver<ControlMessage>,
@@ -184,8 +184,8 @@
         let mut outboxes =
             Outboxes { own_id: member_id, senders, shared: shared.clone(), runtime: voter_links };
         let delegation = Delegation::new(shared.clone(), outboxes.runtime.clone());
-        outboxes.learn(&voters);
-        let turns = TurnClock::new(&shared.settings.name, &shared.metrics);
+        outboxes.add_voters(&voters);
+        let turns = TurnTimer::new(&shared.settings.name, &shared.metrics);
         ControlThread {
             shared,
             messages,
@@ -201,13 +201,13 @@
         }
     }
 
-    /// Takes messages that arrived together, and decides once on all of them.
-    fn take(&mut self, messages: Vec<ControlMessage>) -> Result<(), StorageError> {
+    /// Handles messages that arrived together, and finishes the turn once for all of them.
+    fn handle_messages(&mut self, messages: Vec<ControlMessage>) -> Result<(), StorageError> {
         let mut submitted = Vec::new();
         for message in messages {
             match message {
                 ControlMessage::Submit { command, reply } => submitted.push((command, Reply::Submit(reply))),
-                // The lease client goes on only once what the lease brought is published.
+                // The lease client continues only once the content of the lease is published.
                 ControlMessage::LeaseGranted { lease, reply } => {
                     self.step(Input::LeaseGranted(lease))?;
                     self.publish();
@@ -217,47 +217,47 @@
                 other => {
                     let begun = Instant::now();
                     if let Some(input) = input_of(other) {
-                        self.give(begun, input);
+                        self.handle_input(begun, input);
                     }
                 }
             }
         }
         if !submitted.is_empty() {
-            self.give(Instant::now(), Input::Submit(submitted));
+            self.handle_input(Instant::now(), Input::Submit(submitted));
         }
-        self.settle()
+        self.finish_turn()
     }
 
-    /// Gives the node one input, which has been worked on since `begun`.
-    fn give(&mut self, begun: Instant, input: Input<Reply>) {
-        let work = Work::of_input(&input);
+    /// Passes one input to the node; `begun` is when work on the message started.
+    fn handle_input(&mut self, begun: Instant, input: Input<Reply>) {
+        let work = WorkKind::of_input(&input);
         self.node.handle_input(now(), input);
-        self.turns.spent(work, begun);
+        self.turns.record(work, begun);
     }
 
-    /// Gives the node one input and carries out what follows.
+    /// Passes one input to the node and carries out its outputs.
     fn step(&mut self, input: Input<Reply>) -> Result<(), StorageError> {
-        self.give(Instant::now(), input);
-        self.settle()
+        self.handle_input(Instant::now(), input);
+        self.finish_turn()
     }
 
-    /// Carries out, in order, what the node asks for, until it asks for nothing more.
-    fn settle(&mut self) -> Result<(), StorageError> {
+    /// Carries out the outputs of the node in order, until no output results in another input.
+    fn finish_turn(&mut self) -> Result<(), StorageError> {
         loop {
-            let mut follows = false;
+            let mut has_new_inputs = false;
             let begun = Instant::now();
             let outputs = self.node.finish_turn(now());
-            self.turns.spent(Work::Decisions, begun);
+            self.turns.record(WorkKind::Decisions, begun);
             for output in outputs {
-                let (work, begun) = (Work::of_output(&output), Instant::now());
+                let (work, begun) = (WorkKind::of_output(&output), Instant::now());
                 let next = self.carry_out(output)?;
-                self.turns.spent(work, begun);
+                self.turns.record(work, begun);
                 if let Some(input) = next {
-                    follows = true;
-                    self.give(Instant::now(), input);
+                    has_new_inputs = true;
+                    self.handle_input(Instant::now(), input);
                 }
             }
-            if !follows {
+            if !has_new_inputs {
                 return Ok(());
             }
         }
@@ -279,24 +279,24 @@
             }
             Output::Send(message) => self.outboxes.send(message),
             Output::VotersChanged(voters) => {
-                self.outboxes.learn(&voters);
-                self.show_voters();
+                self.outboxes.add_voters(&voters);
+                self.publish_voters();
             }
             Output::LoadReply(reply, digest) => reply.load(digest),
             Output::PlaceReply(reply, place) => reply.place(place),
             Output::AdmitReply(reply, answer) => reply.admit(answer),
             Output::ReadReply(reply, answer) => reply.read(answer),
-            Output::SnapshotReply(reply, copy) => reply.copy(copy),
-            Output::AnnounceLeader { to, term } => self.announcer.call(&to, term),
+            Output::SnapshotReply(reply, snapshot) => reply.snapshot(snapshot),
+            Output::AnnounceLeader { to, term } => self.announcer.announce(&to, term),
             Output::SendGroupOrder(order) => self.group_orders.send(order),
             Output::Probe(probe) => self.group_orders.probe(probe),
             Output::SubmitReply(reply, answer) => reply.submit(answer),
-            Output::LeaseReply(reply, answer) => reply.lease(self.stamped(answer)),
+            Output::LeaseReply(reply, answer) => reply.lease(self.with_stamp(answer)),
             Output::DelegateLeases { leader, number, requests } => {
                 self.delegation.send(leader, number, requests);
             }
             Output::DelegationReply(reply, answer) => reply.delegation(answer),
-            Output::ObserveReply(reply, taken) => reply.observe(taken),
+            Output::ObserveReply(reply, accepted) => reply.observe(accepted),
             Output::ViewReply(reply, view) => reply.view(view),
             Output::SendOrder(order) => self.orders.send(*order),
             Output::Record { event, revision } => {
@@ -320,7 +320,8 @@
         Ok(None)
     }
 
-    fn stamped(&self, answer: LeaseAnswer) -> LeaseAnswer {
+    /// Fills in the clock stamp of a granted lease.
+    fn with_stamp(&self, answer: LeaseAnswer) -> LeaseAnswer {
         match answer {
             LeaseAnswer::Granted { term, leader, ask_next, revision, in_force_revision, content, .. } => {
                 let stamp = self.shared.timeline.stamp();
@@ -330,8 +331,8 @@
         }
     }
 
-    /// Shows the voters at a member of the control group; other daemons do not know them.
-    fn show_voters(&mut self) {
+    /// Publishes the voters at a member of the control group; other daemons do not know them.
+    fn publish_voters(&mut self) {
         if self.disk.is_none() {
             return;
         }
@@ -344,12 +345,12 @@
             return;
         }
         let begun = Instant::now();
-        self.show_voters();
+        self.publish_voters();
         let tables = Arc::new(self.node.tables().clone());
         let routing = Arc::new(RoutingTable::build(&tables));
         let in_force_revision = self.node.in_force_revision();
         self.shared.publish(Published { tables, in_force_revision, routing });
-        self.turns.spent(Work::Publishing, begun);
+        self.turns.record(WorkKind::Publishing, begun);
     }
 }
 
@@ -357,22 +358,22 @@
     Moment { monotonic: monotonic_ms(), wall_ms: wall_ms() }
 }
 
-/// Messages of the consensus group. What can't be read was not sent by a member of this version; consensus repeats the
-/// rest.
-fn read_messages(bytes: &[u8]) -> Vec<Message> {
+/// Decodes messages of the consensus group. Undecodable messages were not sent by a member of this version and are dropped;
+/// the consensus protocol resends what is missing.
+fn decode_or_drop(bytes: &[u8]) -> Vec<Message> {
     decode_messages(bytes).unwrap_or_else(|error| {
-        let message = format!("messages of the consensus group are passed over: {error}");
+        let message = format!("dropping undecodable consensus messages: {error}");
         logging::write("", LineBody::Fault { message: &message });
         Vec::new()
     })
 }
 
-/// What a message means to the control node; `None` for those that concern the thread itself.
+/// Converts a message to an input of the control node; `None` for messages that the thread handles itself.
 fn input_of(message: ControlMessage) -> Option<Input<Reply>> {
     Some(match message {
-        ControlMessage::Consensus { messages } => Input::Consensus(read_messages(&messages)),
+        ControlMessage::Consensus { messages } => Input::Consensus(decode_or_drop(&messages)),
         ControlMessage::Pulse => Input::Pulse,
-        ControlMessage::CopyState { reply } => Input::FetchSnapshot(Reply::Copy(reply)),
+        ControlMessage::CopyState { reply } => Input::FetchSnapshot(Reply::Snapshot(reply)),
         ControlMessage::Lease { request, reply } => Input::Lease(request, Reply::Lease(reply)),
         ControlMessage::Delegate { requests, reply } => Input::Delegate(requests, Reply::Delegation(reply)),
         ControlMessage::Delegated { number, answer } => Input::Delegated { number, answer },
@@ -393,8 +394,8 @@
         ControlMessage::LearnVoters(voters) => Input::LearnVoters(voters),
         ControlMessage::ReadRevision { reply } => Input::ReadRevision(Reply::Read(reply)),
         ControlMessage::PlatformList(rows) => {
-            let leaving = rows.into_iter().filter(|row| row.leaving).map(|row| row.server).collect();
-            Input::Leaving(leaving)
+            let leaving_machines = rows.into_iter().filter(|row| row.leaving).map(|row| row.server).collect();
+            Input::Leaving(leaving_machines)
         }
         ControlMessage::Submit { .. } | ControlMessage::LeaseGranted { .. } | ControlMessage::Stop => {
             return None;
--- a/crates/daemon/src/control/turn.rs
+++ b/crates/daemon/src/control/turn.rs
@@ -1,6 +1,7 @@
-//! Where the control thread's time goes: how long its turns take, and which kind of work takes it.
+//! Measures the turns of the control thread: their duration, and the time spent on each kind of work.
 //!
-//! A leader whose turns are long receives and answers late: daemons lose leases, and voters elect another one.
+//! A leader whose turns take long receives and answers messages late, so that daemons lose their leases and the voters
+//! elect another leader.
 
 use crate::log_line::{LineBody, SlowTurnLine, WorkTime};
 use crate::logging;
@@ -9,150 +10,150 @@
 use prometheus::Histogram;
 use std::time::{Duration, Instant};
 
-/// A turn that takes longer is logged: half of the time between a leader's heartbeats (100 ms).
-const SLOW_TURN: Duration = Duration::from_millis(50);
-/// Least time between two lines on slow turns; the next line holds the number of those left out.
-const LINE_EVERY: Duration = Duration::from_secs(1);
+/// Turns of at least this duration are logged: half of the interval between a leader's heartbeats (100 ms).
+const SLOW_TURN_THRESHOLD: Duration = Duration::from_millis(50);
+/// Minimum time between two log lines on slow turns; the next line has the number of suppressed lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Kinds of work in a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
-    /// Messages of the consensus group.
+pub enum WorkKind {
+    /// Handling messages of the consensus group.
     Consensus,
-    /// Lease requests.
+    /// Handling lease requests.
     Leases,
-    /// Commands to commit, and voters' admissions.
+    /// Handling commands to commit and admissions of voters.
     Commands,
-    /// Servers' reports, and what came of orders and probes.
+    /// Handling servers' reports and the results of orders and probes.
     Servers,
-    /// Entries' and dispatchers' loads.
+    /// Handling load reports of entries and dispatchers.
     Loads,
-    /// Requests for places.
+    /// Handling requests for places.
     Places,
-    /// All other messages.
+    /// Handling all other messages.
     Other,
-    /// Proposing, running the controllers, answering leases.
+    /// Proposing commands, running the controllers and answering lease requests.
     Decisions,
     /// Writing to the disk.
     Disk,
-    /// Answers, orders and messages to other voters.
+    /// Sending answers, orders and messages to other voters.
     Sending,
     /// Publishing the tables to the other threads.
     Publishing,
 }
 
-impl Work {
-    /// All kinds, by position.
-    pub const ALL: [Work; 11] = [
-        Work::Consensus,
-        Work::Leases,
-        Work::Commands,
-        Work::Servers,
-        Work::Loads,
-        Work::Places,
-        Work::Other,
-        Work::Decisions,
-        Work::Disk,
-        Work::Sending,
-        Work::Publishing,
+impl WorkKind {
+    /// All kinds, in order of their discriminants.
+    pub const ALL: [WorkKind; 11] = [
+        WorkKind::Consensus,
+        WorkKind::Leases,
+        WorkKind::Commands,
+        WorkKind::Servers,
+        WorkKind::Loads,
+        WorkKind::Places,
+        WorkKind::Other,
+        WorkKind::Decisions,
+        WorkKind::Disk,
+        WorkKind::Sending,
+        WorkKind::Publishing,
     ];
 
     /// The label in metrics and logs.
     pub const fn name(self) -> &'static str {
         match self {
-            Work::Consensus => "consensus",
-            Work::Leases => "leases",
-            Work::Commands => "commands",
-            Work::Servers => "servers",
-            Work::Loads => "loads",
-            Work::Places => "places",
-            Work::Other => "other",
-            Work::Decisions => "decisions",
-            Work::Disk => "disk",
-            Work::Sending => "sending",
-            Work::Publishing => "publishing",
+            WorkKind::Consensus => "consensus",
+            WorkKind::Leases => "leases",
+            WorkKind::Commands => "commands",
+            WorkKind::Servers => "servers",
+            WorkKind::Loads => "loads",
+            WorkKind::Places => "places",
+            WorkKind::Other => "other",
+            WorkKind::Decisions => "decisions",
+            WorkKind::Disk => "disk",
+            WorkKind::Sending => "sending",
+            WorkKind::Publishing => "publishing",
         }
     }
 
-    /// The kind of taking an input.
-    pub fn of_input<R>(input: &Input<R>) -> Work {
+    /// The kind of work of handling an input.
+    pub fn of_input<R>(input: &Input<R>) -> WorkKind {
         match input {
-            Input::Consensus(_) => Work::Consensus,
+            Input::Consensus(_) => WorkKind::Consensus,
             Input::Lease(..) | Input::LeaseGranted(_) | Input::Delegate(..) | Input::Delegated { .. } => {
-                Work::Leases
+                WorkKind::Leases
             }
-            Input::Submit(_) | Input::AdmitVoter { .. } | Input::LearnVoters(_) => Work::Commands,
+            Input::Submit(_) | Input::AdmitVoter { .. } | Input::LearnVoters(_) => WorkKind::Commands,
             Input::Register(..)
             | Input::OrderAnswered { .. }
             | Input::GroupOrderAnswered(..)
-            | Input::Probed { .. } => Work::Servers,
-            Input::ExchangeLoad(..) | Input::ServerLimits(_) => Work::Loads,
-            Input::AssignPlace(..) => Work::Places,
-            _ => Work::Other,
+            | Input::Probed { .. } => WorkKind::Servers,
+            Input::ExchangeLoad(..) | Input::ServerLimits(_) => WorkKind::Loads,
+            Input::AssignPlace(..) => WorkKind::Places,
+            _ => WorkKind::Other,
         }
     }
 
-    /// The kind of carrying out an output.
-    pub fn of_output<R>(output: &Output<R>) -> Work {
+    /// The kind of work of carrying out an output.
+    pub fn of_output<R>(output: &Output<R>) -> WorkKind {
         match output {
-            Output::Persist { .. } | Output::StoreSnapshot(_) => Work::Disk,
-            _ => Work::Sending,
+            Output::Persist { .. } | Output::StoreSnapshot(_) => WorkKind::Disk,
+            _ => WorkKind::Sending,
         }
     }
 }
 
-/// Measures turns.
-pub struct TurnClock {
+/// Measures the turns of the control thread.
+pub struct TurnTimer {
     turn_seconds: Histogram,
-    work_seconds: [Histogram; Work::ALL.len()],
-    spent: [Duration; Work::ALL.len()],
+    work_seconds: [Histogram; WorkKind::ALL.len()],
+    spent: [Duration; WorkKind::ALL.len()],
     daemon: String,
-    logged_at: Option<Instant>,
+    last_logged_at: Option<Instant>,
     held_back: u64,
 }
 
-impl TurnClock {
-    /// A clock of a daemon, which shows its figures in the metrics.
-    pub fn new(daemon: &str, metrics: &Metrics) -> TurnClock {
-        TurnClock {
+impl TurnTimer {
+    /// Creates a timer that reports to `metrics` and logs slow turns under the daemon's name.
+    pub fn new(daemon: &str, metrics: &Metrics) -> TurnTimer {
+        TurnTimer {
             daemon: daemon.to_string(),
             turn_seconds: metrics.control_turn_seconds.clone(),
-            work_seconds: Work::ALL
+            work_seconds: WorkKind::ALL
                 .map(|work| metrics.control_work_seconds.with_label_values(&[work.name()])),
             spent: Default::default(),
-            logged_at: None,
+            last_logged_at: None,
             held_back: 0,
         }
     }
 
-    /// Counts the time since `begun` as spent on a kind of work.
-    pub fn spent(&mut self, work: Work, begun: Instant) {
+    /// Adds the time since `begun` to a kind of work.
+    pub fn record(&mut self, work: WorkKind, begun: Instant) {
         self.spent[work as usize] += begun.elapsed();
     }
 
-    /// Ends the turn.
+    /// Ends the turn: reports its durations and starts the next turn.
     pub fn end_turn(&mut self) {
         let spent = std::mem::take(&mut self.spent);
-        let whole: Duration = spent.iter().sum();
-        self.turn_seconds.observe(whole.as_secs_f64());
+        let total: Duration = spent.iter().sum();
+        self.turn_seconds.observe(total.as_secs_f64());
         for (histogram, time) in self.work_seconds.iter().zip(&spent).filter(|(_, time)| !time.is_zero()) {
             histogram.observe(time.as_secs_f64());
         }
-        if whole >= SLOW_TURN {
-            self.log(whole, &spent);
+        if total >= SLOW_TURN_THRESHOLD {
+            self.log_slow_turn(total, &spent);
         }
     }
 
-    fn log(&mut self, whole: Duration, spent: &[Duration; Work::ALL.len()]) {
-        if self.logged_at.is_some_and(|at| at.elapsed() < LINE_EVERY) {
+    fn log_slow_turn(&mut self, total: Duration, spent: &[Duration; WorkKind::ALL.len()]) {
+        if self.last_logged_at.is_some_and(|at| at.elapsed() < LOG_INTERVAL) {
             self.held_back += 1;
             return;
         }
-        self.logged_at = Some(Instant::now());
-        let work = Work::ALL.iter().zip(spent).filter(|(_, time)| time.as_millis() > 0);
+        self.last_logged_at = Some(Instant::now());
+        let work = WorkKind::ALL.iter().zip(spent).filter(|(_, time)| time.as_millis() > 0);
         let work = work.map(|(work, time)| WorkTime { work: work.name(), took_ms: time.as_millis() as u64 });
         let line = SlowTurnLine {
-            took_ms: whole.as_millis() as u64,
+            took_ms: total.as_millis() as u64,
             work: work.collect(),
             held_back: std::mem::take(&mut self.held_back),
         };
--- a/crates/daemon/src/control/voter_disk.rs
+++ b/crates/daemon/src/control/voter_disk.rs
@@ -1,4 +1,4 @@
-//! A voter's disk: records of the log, and the snapshot, under its data folder.
+//! Persistent storage of a voter: the log and the snapshot in its data folder.
 
 use crate::metrics::Metrics;
 use dockwood_api::{ApiError, ResultCode};
@@ -11,15 +11,15 @@
 use std::path::Path;
 
 quick_error! {
-    /// Why a voter can't start.
+    /// Error that prevents a voter from starting.
     #[derive(Debug)]
     pub enum StartError {
-        /// The data folder.
+        /// The data folder can't be opened.
         Storage(error: StorageError) {
             display("{}: {}", error.code_number(), error)
             from()
         }
-        /// What the data folder holds can't be read.
+        /// The content of the data folder can't be decoded.
         Content(error: ApiError) {
             display("{}", error)
             from()
@@ -31,7 +31,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum StoredRecord {
     HardState(HardState),
-    /// Replaces any entry of this or a higher index that was stored before.
+    /// Replaces earlier records of entries with the same or a higher index.
     Entry(Entry),
 }
 
@@ -48,18 +48,18 @@
     metrics: Metrics,
 }
 
-/// What a data folder held.
+/// The recovered content of a data folder.
 pub struct RecoveredVoter {
-    /// The disk, open for writing.
+    /// The data folder, open for writing.
     pub disk: VoterDisk,
     /// The state of the stored snapshot.
     pub state: State,
-    /// For the consensus core.
+    /// Log and hard state for the consensus core.
     pub recovered: Recovered,
 }
 
 impl VoterDisk {
-    /// Opens a data folder and reads all that it holds.
+    /// Opens a data folder and reads its content.
     pub fn open(path: &Path, metrics: Metrics) -> Result<RecoveredVoter, StartError> {
         let folder = DataFolder::open(path)?;
         let snapshot = load_snapshot(&folder)?;
@@ -73,12 +73,12 @@
         Ok(RecoveredVoter { disk: VoterDisk { folder, log, metrics }, state, recovered })
     }
 
-    /// The folder.
+    /// Returns the data folder.
     pub fn folder(&self) -> &DataFolder {
         &self.folder
     }
 
-    /// Appends and syncs.
+    /// Appends the hard state and entries to the log and syncs it.
     pub fn persist(&mut self, hard_state: Option<HardState>, entries: &[Entry]) -> Result<(), StorageError> {
         let mut records = Vec::new();
         records.extend(hard_state.map(|hard_state| StoredRecord::HardState(hard_state).encode()));
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Stores a snapshot and replaces the log by what follows it.
+    /// Stores a snapshot and replaces the log by the entries after it.
     pub fn store_snapshot(&mut self, snapshot: ControlSnapshot) -> Result<(), StorageError> {
         let ControlSnapshot { index, term, data, hard_state, entries } = snapshot;
         store_snapshot(&self.folder, &StoredSnapshot { index, term, data })?;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Puts snapshot and records together.
+/// Combines the snapshot with the records of the log.
 fn recover(snapshot: Option<&StoredSnapshot>, records: &[Vec<u8>]) -> Result<Recovered, ApiError> {
     let mut recovered = Recovered {
         snapshot_index: snapshot.map_or(0, |snapshot| snapshot.index),
@@ -128,7 +128,7 @@
     Ok(recovered)
 }
 
-/// Appends an entry after dropping those of its index and above.
+/// Appends an entry after dropping the entries with the same or a higher index.
 fn replace_from(entries: &mut Vec<Entry>, entry: Entry) {
     while entries.last().is_some_and(|last| last.index >= entry.index) {
         entries.pop();
--- a/crates/daemon/src/control_directory.rs
+++ b/crates/daemon/src/control_directory.rs
@@ -1,5 +1,5 @@
-//! Where the members of the control group are reached, made anew only when a daemon's row or the seeds have changed:
-//! every call to the leader asks for it.
+//! Addresses of the members of the control group. They are cached and recomputed only when a daemon's row or the known
+//! peers change, because every call to the leader needs them.
 
 use crate::lock::lock;
 use dockwood_state::{DaemonRow, Liveness, Tables};
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// The control group's addresses as they were made from one state of the tables.
+/// Addresses of the control group, derived from one state of the tables.
 #[derive(Clone, Debug, Default)]
 pub struct ControlAddresses {
-    /// Peer addresses at which the control group can be asked for, sorted.
+    /// Peer addresses at which the control group may be reached, sorted.
     pub peers: Vec<SocketAddr>,
-    /// The daemons among them that take operators and servers.
+    /// The daemons that accept operators' calls and servers' reports.
     pub members: Vec<ControlMember>,
 }
 
-/// A daemon that takes operators and servers.
+/// A daemon that accepts operators' calls and servers' reports.
 #[derive(Clone, Debug)]
 pub struct ControlMember {
     /// Daemon name.
@@ -27,38 +27,38 @@
     pub peer: SocketAddr,
     /// Address for operators and servers.
     pub operators: SocketAddr,
-    /// It was heard lately.
+    /// Whether it is live.
     pub is_reachable: bool,
 }
 
-/// Keeps the newest addresses with what they were made from.
+/// Caches the addresses together with the inputs that they were derived from.
 #[derive(Debug, Default)]
 pub struct ControlDirectory {
-    made: Mutex<Made>,
+    cached: Mutex<CachedAddresses>,
 }
 
 #[derive(Debug, Default)]
-struct Made {
+struct CachedAddresses {
     daemons: OrdMap<String, Arc<DaemonRow>>,
     known_peers: Vec<SocketAddr>,
     addresses: Arc<ControlAddresses>,
 }
 
 impl ControlDirectory {
-    /// The addresses by the tables, and `known_peers` beside them.
+    /// Returns the addresses derived from the tables, plus `known_peers`.
     pub fn addresses(&self, tables: &Tables, known_peers: &[SocketAddr]) -> Arc<ControlAddresses> {
-        let mut made = lock(&self.made);
-        let is_current = made.daemons.ptr_eq(&tables.daemons) && made.known_peers == known_peers;
+        let mut cached = lock(&self.cached);
+        let is_current = cached.daemons.ptr_eq(&tables.daemons) && cached.known_peers == known_peers;
         if !is_current {
-            made.addresses = Arc::new(addresses(tables, known_peers));
-            made.daemons = tables.daemons.clone();
-            made.known_peers = known_peers.to_vec();
+            cached.addresses = Arc::new(derive_addresses(tables, known_peers));
+            cached.daemons = tables.daemons.clone();
+            cached.known_peers = known_peers.to_vec();
         }
-        made.addresses.clone()
+        cached.addresses.clone()
     }
 }
 
-fn addresses(tables: &Tables, known_peers: &[SocketAddr]) -> ControlAddresses {
+fn derive_addresses(tables: &Tables, known_peers: &[SocketAddr]) -> ControlAddresses {
     let member = |daemon: &Arc<DaemonRow>| {
         let record = &daemon.record;
         Some(ControlMember {
--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -1,6 +1,6 @@
-//! Where a deployment's own protocol plugs in: the names of headers and paths, and the bodies of the calls with
-//! servers, operators and the directory's callers. An implementation translates and does nothing else: it decides
-//! nothing, keeps nothing and repeats nothing.
+//! Interface for the protocol of a deployment: names of headers and paths, and the bodies of the calls exchanged with
+//! servers, operators and the directory's callers. An implementation only translates: it makes no decisions, has no state
+//! and retries nothing.
 
 use crate::pushback::SignalHeaders;
 use dockwood_api::ApiError;
@@ -11,45 +11,45 @@
 /// Names of headers, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Identifies a caller's attempt; comes back with the answer.
+    /// Identifies a caller's attempt; returned with the response.
     pub attempt: &'static str,
-    /// Milliseconds that the caller, or this daemon, will wait.
+    /// Milliseconds that the caller, or this daemon as the sender, waits for the response.
     pub deadline_ms: &'static str,
-    /// The model that a request is for.
+    /// Model that the request is for.
     pub model: &'static str,
-    /// Tokens of a request; see [`Dialect::prompt_tokens`].
+    /// Number of tokens of the request; see [`Dialect::prompt_tokens`].
     pub token_usage: &'static str,
-    /// The last event that a caller has.
+    /// Id of the last event that the caller received.
     pub last_event: &'static str,
-    /// The tenant, as told to a server.
+    /// Tenant, sent to servers.
     pub tenant: &'static str,
-    /// The instance that a request is meant for.
+    /// Instance that the request is intended for.
     pub expected_instance: &'static str,
-    /// The instance that answers a health check.
+    /// Instance that responds to a health check.
     pub own_instance: &'static str,
-    /// Shows that a server did not run the request.
+    /// Set if the server did not run the request.
     pub not_run: &'static str,
-    /// A server's rank of a request.
+    /// Rank that a server gives a request.
     pub rank: &'static str,
-    /// By which servers ask for something.
+    /// Pushback signals of servers.
     pub signals: SignalHeaders,
 }
 
 /// A call of an operator or a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorCall {
-    /// Take a configuration.
+    /// Replace the configuration.
     Configure(Box<GatewayConfiguration>),
-    /// Show the newest configuration.
+    /// Read the newest configuration.
     ReadConfiguration,
     /// A server's report on itself.
     Report(Box<InstanceReport>),
-    /// A server signs off.
+    /// A server deregisters.
     SignOff {
         /// Instance id.
         id: String,
     },
-    /// Keep requests away from a zone's servers, or let them have requests again.
+    /// Start or end the evacuation of a zone, whose servers are sent no requests meanwhile.
     SetEvacuation {
         /// Zone.
         zone: String,
@@ -58,16 +58,16 @@
     },
 }
 
-/// Who asks the directory.
+/// A query to the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryQuery {
-    /// The caller's zone, if told.
+    /// The caller's zone, if given.
     pub zone: Option<String>,
-    /// The caller's region, if told.
+    /// The caller's region, if given.
     pub region: Option<String>,
 }
 
-/// A call to be made at a server.
+/// An encoded call to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedCall {
     /// Path.
@@ -78,46 +78,46 @@
     pub body: Vec<u8>,
 }
 
-/// One deployment's protocol.
+/// The protocol of a deployment.
 pub trait Dialect: Send + Sync + 'static {
     /// Names of headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// Path at which readiness is asked for.
+    /// Path of the readiness check.
     fn readiness_path(&self) -> &str;
 
-    /// The key within an `Authorization` header.
+    /// Extracts the key from an `Authorization` header.
     fn key<'a>(&self, authorization: &'a str) -> Option<&'a str>;
 
-    /// Tokens of a request's prompt, from the header that tells its tokens.
+    /// Parses the number of prompt tokens from the [`HeaderNames::token_usage`] header.
     fn prompt_tokens(&self, usage: &str) -> Option<u64>;
 
-    /// A query to the directory; `None` if the path is not its own.
+    /// Parses a query to the directory; `None` if the path is not that of the directory.
     fn directory_query(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
 
-    /// The directory's answer.
+    /// Encodes the directory's answer.
     fn directory_answer(&self, addresses: &[SocketAddr], lifetime: Duration) -> Vec<u8>;
 
-    /// A call of an operator or a server, read whole.
+    /// Decodes a call of an operator or a server.
     ///
     /// # Errors
-    /// `NoSuchPath` for a path or method that is not known, `ConfigurationUnreadable` or `BadJson` for a body that
-    /// can't be read.
+    /// `NoSuchPath` for an unknown path or method, `ConfigurationUnreadable` or `BadJson` for a body that can't be
+    /// decoded.
     fn operator_call(&self, method: &str, path: &str, body: &[u8]) -> Result<OperatorCall, ApiError>;
 
-    /// The answer to a server's report: where it should report from now on, if it matters.
+    /// Encodes the answer to a server's report; `report_to` is the address for its next reports, if it should change.
     fn report_answer(&self, report_to: Option<SocketAddr>) -> Vec<u8>;
 
-    /// A group order as a server takes it.
+    /// Encodes a group order as a call to a server.
     fn order_call(&self, order: &GroupOrder) -> EncodedCall;
 
-    /// What a server's status says of an order.
+    /// Converts the HTTP status of a server's response to the answer to an order.
     fn order_answer(&self, status: u16) -> OrderAnswer;
 
-    /// Path at a server that tells its state.
+    /// Path of a server's report on its state.
     fn report_path(&self) -> &str;
 
-    /// How many times its declared times a server takes, from its answer at [`Dialect::report_path`]; `None` if it
-    /// doesn't tell.
+    /// Parses the ratio of a server's actual to its declared processing times from its answer at [`Dialect::report_path`];
+    /// `None` if the answer doesn't contain it.
     fn report_slowness(&self, body: &[u8]) -> Option<f64>;
 }
--- a/crates/daemon/src/known_leader.rs
+++ b/crates/daemon/src/known_leader.rs
@@ -1,111 +1,113 @@
-//! The control leader as this daemon last heard of it: by a lease, by its own consensus group, or by the leader itself.
+//! The control leader as last known to this daemon: from a lease, from its own consensus group, or from an announcement.
 
 use crate::lock::lock;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// How long a daemon that is no voter tells others of a leader, in milliseconds, after it last heard of it: a lease is
-/// renewed several times in this span. Later it may name one that is gone, and send others there in vain.
-const NAMED_FOR_MS: u64 = 3_000;
+/// Time after the last contact for which a daemon that is not a voter refers others to the leader, in milliseconds. A lease
+/// is renewed several times within it; later, the leader may have been replaced, and the referral would be useless.
+const REFERRAL_LIMIT_MS: u64 = 3_000;
 
-/// What is known of the leader.
+/// Tracks what this daemon knows about the control leader.
 #[derive(Debug)]
 pub struct KnownLeader {
-    heard: Mutex<Heard>,
-    /// Counts the times that a leader was heard of which nobody here had asked.
-    news: watch::Sender<u64>,
+    state: Mutex<State>,
+    /// Number of unsolicited announcements of a leader.
+    announcements: watch::Sender<u64>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    /// Whom to ask first: the leader, or a daemon that passes calls on to it.
+struct State {
+    /// Target of the next call to the leader: the leader itself, or a daemon that relays calls to it.
     ask_first: Option<SocketAddr>,
     leader: Option<Leader>,
-    /// The highest term of any leader heard of.
+    /// The highest known term of a leader.
     term: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Leader {
     address: SocketAddr,
-    heard_at: u64,
-    /// By its own word or its group's; a lease may have been granted through another daemon.
+    last_contact: u64,
+    /// Whether the address comes from the leader itself or from its group. A lease may have been granted through another
+    /// daemon.
     is_certain: bool,
 }
 
 impl Default for KnownLeader {
     fn default() -> Self {
-        KnownLeader { heard: Mutex::default(), news: watch::channel(0).0 }
+        KnownLeader { state: Mutex::default(), announcements: watch::channel(0).0 }
     }
 }
 
 impl KnownLeader {
-    fn heard(&self) -> MutexGuard<'_, Heard> {
-        lock(&self.heard)
+    fn state(&self) -> MutexGuard<'_, State> {
+        lock(&self.state)
     }
 
-    /// Whom to ask first.
+    /// Returns the target of the next call to the leader.
     pub fn ask_first(&self) -> Option<SocketAddr> {
-        self.heard().ask_first
+        self.state().ask_first
     }
 
-    /// Notes whom to ask first.
+    /// Sets the target of the next call to the leader.
     pub fn set_ask_first(&self, address: SocketAddr) {
-        self.heard().ask_first = Some(address);
+        self.state().ask_first = Some(address);
     }
 
-    /// The leader's own address, if it was ever heard of.
+    /// Returns the leader's own address, if it was ever known.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.heard().leader.map(|leader| leader.address)
+        self.state().leader.map(|leader| leader.address)
     }
 
-    /// The leader's own address, if it was heard of lately enough to send others there.
+    /// Returns the leader's own address, if the last contact is recent enough to refer others to it.
     pub fn address_for_others(&self, now: u64) -> Option<SocketAddr> {
-        let leader = self.heard().leader?;
-        (now < leader.heard_at + NAMED_FOR_MS).then_some(leader.address)
+        let leader = self.state().leader?;
+        (now < leader.last_contact + REFERRAL_LIMIT_MS).then_some(leader.address)
     }
 
-    /// A daemon that was asked as the leader granted a lease.
+    /// Records that `address`, called as the leader, granted a lease.
     pub fn granted(&self, now: u64, address: SocketAddr, term: u64) {
-        let mut heard = self.heard();
-        heard.ask_first = Some(address);
-        if term < heard.term {
+        let mut state = self.state();
+        state.ask_first = Some(address);
+        if term < state.term {
             return;
         }
-        let certain = heard.leader.filter(|leader| leader.is_certain && term == heard.term);
-        let leader = certain.unwrap_or(Leader { address, heard_at: now, is_certain: false });
-        heard.leader = Some(Leader { heard_at: now, ..leader });
-        heard.term = term;
+        let certain = state.leader.filter(|leader| leader.is_certain && term == state.term);
+        let leader = certain.unwrap_or(Leader { address, last_contact: now, is_certain: false });
+        state.leader = Some(Leader { last_contact: now, ..leader });
+        state.term = term;
     }
 
-    /// This daemon's own group elected a leader.
+    /// Records the leader elected by this daemon's own group. Returns false, without any change, if a leader of a later term
+    /// is known.
     pub fn elected(&self, now: u64, address: SocketAddr, term: u64) -> bool {
-        let mut heard = self.heard();
-        if term < heard.term {
+        let mut state = self.state();
+        if term < state.term {
             return false;
         }
-        heard.term = term;
-        heard.ask_first = Some(address);
-        heard.leader = Some(Leader { address, heard_at: now, is_certain: true });
+        state.term = term;
+        state.ask_first = Some(address);
+        state.leader = Some(Leader { address, last_contact: now, is_certain: true });
         true
     }
 
-    /// A leader told this daemon that it leads. False if a later one is known; nothing changes then.
+    /// Records a leader that announced itself. Returns false, without any change, if a leader of a later term is known.
     pub fn announced(&self, now: u64, address: SocketAddr, term: u64) -> bool {
-        let is_news = self.elected(now, address, term);
-        if is_news {
-            self.tell();
+        let is_accepted = self.elected(now, address, term);
+        if is_accepted {
+            self.notify();
         }
-        is_news
+        is_accepted
     }
 
-    fn tell(&self) {
-        self.news.send_modify(|count| *count += 1);
+    fn notify(&self) {
+        self.announcements.send_modify(|count| *count += 1);
     }
 
-    /// Follows news of a leader.
+    /// Subscribes to announcements of a leader.
     pub fn watch(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.announcements.subscribe()
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The dockwood daemon: answers callers, forwards their requests, and takes part in control.
+//! The dockwood daemon: answers callers, forwards their requests, and participates in the control plane.
 //!
-//! Control state lives on one thread ([`control`]), traffic on others ([`traffic`], [`http`], [`probe`]).
-//! Decisions are made in the pure crates below; this crate gives them clocks, disks and sockets.
+//! One thread owns the control state ([`control`]); other threads handle traffic ([`traffic`], [`http`], [`probe`]).
+//! Decisions are made in crates without I/O; this crate provides their clocks, disks and sockets.
 
 pub mod cli;
 pub mod clock;
@@ -17,6 +17,7 @@
 pub mod logging;
 pub mod metrics;
 pub mod own_dialect;
+pub mod pause_detector;
 pub mod peer;
 pub mod probe;
 pub mod process;
@@ -28,5 +29,4 @@
 pub mod suspects;
 pub mod timeline;
 pub mod traffic;
-pub mod wakefulness;
 pub mod watch_hub;
--- a/crates/daemon/src/log_line.rs
+++ b/crates/daemon/src/log_line.rs
@@ -1,15 +1,15 @@
-//! Lines of the log: one JSON object each, of a documented form.
+//! Log lines: one JSON object each, in a documented format.
 //!
-//! docs/OPERATIONS-GATEWAY.md lists the fields. [`SCHEMA_VERSION`] grows when a field changes its meaning or goes; fields
-//! that are added leave it as it is.
+//! docs/OPERATIONS-GATEWAY.md lists the fields. [`SCHEMA_VERSION`] is incremented when a field is removed or
+//! changes its meaning, but not when a field is added.
 
 use dockwood_api::ResultCode;
 use serde::Serialize;
 
-/// Version of the form of all lines.
+/// Version of the format of all lines.
 pub const SCHEMA_VERSION: u8 = 1;
 
-/// One line.
+/// One log line.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct LogLine<'a> {
@@ -17,54 +17,54 @@
     pub schema: u8,
     /// Milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: &'a str,
-    /// What is told.
+    /// Content of the line.
     #[serde(flatten)]
     pub body: LineBody<'a>,
 }
 
-/// What a line tells.
+/// Content of a log line.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "kind", rename_all = "camelCase")]
 pub enum LineBody<'a> {
-    /// A change of what the daemon believes.
+    /// A timeline event.
     Event(EventLine<'a>),
-    /// An order that a server was sent.
+    /// A group order and its answer.
     Order(OrderLine<'a>),
-    /// How a request ended, and all that was decided on it.
+    /// The outcome of a request and the decisions that led to it.
     Request(RequestLine<'a>),
-    /// A step of a request under which servers may end.
+    /// A step in the handling of a suspected poison request.
     Suspect(SuspectLine<'a>),
-    /// A turn of the control thread took long.
+    /// A slow turn of the control thread.
     SlowTurn(SlowTurnLine),
-    /// A fault of the daemon's own.
+    /// An internal error of the daemon.
     Fault {
-        /// What is wrong.
+        /// Error message.
         message: &'a str,
     },
 }
 
-/// A change of what the daemon believes.
+/// A timeline event.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EventLine<'a> {
     /// Kind and name of what changed.
     pub subject: String,
-    /// The change.
+    /// Kind of change.
     pub reason: &'a str,
-    /// For people.
+    /// Human-readable message.
     pub message: &'a str,
     /// Number of the result code.
     pub code: u16,
     /// Its name.
     pub code_name: &'static str,
-    /// The revision that led to it.
+    /// The revision that caused it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
 }
 
-/// An order that a server was sent.
+/// A group order and its answer.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct OrderLine<'a> {
@@ -72,32 +72,32 @@
     pub order: String,
     /// Instance id.
     pub instance: &'a str,
-    /// Group name; empty where it concerns none.
+    /// Group name; empty if the order concerns no group.
     pub group: &'a str,
     /// Group epoch.
     pub epoch: u64,
-    /// The fence that it carried.
+    /// Fence of the order.
     pub fence: u64,
-    /// What came of it.
+    /// Answer of the server, or why there is none.
     pub answer: String,
 }
 
-/// What becomes of a request under which servers may end.
+/// Step in the handling of a suspected poison request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub enum SuspectStep {
-    /// A server ended that had it.
+    /// A server crashed while it ran the request.
     Suspected,
-    /// It is tried at a server.
+    /// The request is on trial at a server.
     Tried,
-    /// It was answered whole.
+    /// The request was answered completely.
     Cleared,
-    /// It is sent to no server.
+    /// The request is rejected without being sent to a server.
     Refused,
 }
 
 impl SuspectStep {
-    /// Its name in metrics.
+    /// Label value in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             SuspectStep::Suspected => "suspected",
@@ -107,7 +107,8 @@
         }
     }
 
-    /// The result by which its lines are counted, so that no step keeps the lines of another back.
+    /// Result code whose line budget applies, a different one for each step, so that the lines of one step never suppress
+    /// those of another.
     pub const fn code(self) -> ResultCode {
         match self {
             SuspectStep::Suspected => ResultCode::Interrupted,
@@ -118,110 +119,110 @@
     }
 }
 
-/// A step of a request under which servers may end.
+/// A step in the handling of a suspected poison request.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SuspectLine<'a> {
     /// The step.
     pub step: SuspectStep,
-    /// What the request is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: String,
     /// The caller's attempt id.
     pub request: &'a str,
-    /// The server that ended, or at which it is tried.
+    /// The server that crashed, or that the request is on trial at.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub instance: Option<&'a str>,
     /// Zone of that server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<&'a str>,
-    /// Servers that speak against it, as this daemon knows by the log.
+    /// Servers that crashed while they ran the request, according to the replicated log as applied here.
     pub servers: Vec<&'a str>,
-    /// Age of the newest of that evidence, in milliseconds.
+    /// Age of the newest of these crashes, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub evidence_age_ms: Option<u64>,
-    /// Lines of this step that were held back since the last one that was written.
+    /// Number of lines on this step suppressed since the last written one.
     pub held_back: u64,
 }
 
-/// A turn of the control thread that took long, and what took it.
+/// A slow turn of the control thread, with the time spent on each kind of work.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SlowTurnLine {
-    /// The time that it worked, in milliseconds.
+    /// Duration of the turn without idle time, in milliseconds.
     pub took_ms: u64,
     /// Kinds of work that took a millisecond or more.
     pub work: Vec<WorkTime>,
-    /// Lines on slow turns that were held back since the last one that was written.
+    /// Number of lines on slow turns suppressed since the last written one.
     pub held_back: u64,
 }
 
-/// Time that one kind of work took in a turn.
+/// Time spent on one kind of work in a turn.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WorkTime {
     /// The kind, as in the metric `dockwood_control_work_seconds`.
     pub work: &'static str,
-    /// Its time, in milliseconds.
+    /// The time, in milliseconds.
     pub took_ms: u64,
 }
 
-/// How a request ended, and all that was decided on it.
+/// The outcome of a request and the decisions that led to it.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct RequestLine<'a> {
-    /// The caller's attempt id; empty if it sent none.
+    /// The caller's attempt id; empty if the caller sent none.
     pub request: &'a str,
     /// Number of the result code.
     pub code: u16,
     /// Its name.
     pub code_name: &'static str,
-    /// Tenant, where a key was known.
+    /// Tenant, if the key is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<&'a str>,
-    /// Route, where one was found.
+    /// Route, if one was found.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub route: Option<&'a str>,
-    /// Service that its route led to.
+    /// Service of the route.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub service: Option<&'a str>,
-    /// Model that it named.
+    /// Model that the request specified.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub model: Option<&'a str>,
-    /// What it is recognised by when it comes again: the same in each try, at any daemon.
+    /// Fingerprint of the request, which is the same for each retry at any daemon.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fingerprint: Option<String>,
-    /// Version of the configuration that it was judged by.
+    /// Version of the configuration that was applied to the request.
     pub configuration: u64,
-    /// What was left of the configuration lease when it ended, in milliseconds.
+    /// Remaining time of the configuration lease at the end of the request, in milliseconds.
     pub lease_left_ms: u64,
-    /// Age of the leader's last word on places at groups when it ended, in milliseconds.
+    /// Age of the leader's last report on places at groups at the end of the request, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub places_age_ms: Option<u64>,
-    /// From its arrival to its end, in milliseconds.
+    /// Time from the arrival to the end of the request, in milliseconds.
     pub took_ms: u64,
-    /// The time that it had, in milliseconds.
+    /// Time limit of the request, in milliseconds.
     pub allowed_ms: u64,
-    /// How long it waited for a place, in milliseconds.
+    /// Time that the request waited for a place, in milliseconds.
     pub waited_ms: u64,
-    /// From its arrival to the first event that was passed on, in milliseconds.
+    /// Time from the arrival to the first event forwarded to the caller, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_event_ms: Option<u64>,
-    /// Longest pause between two events that were passed on, in milliseconds.
+    /// Longest pause between two forwarded events, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub longest_pause_ms: Option<u64>,
-    /// Tokens of its prompt, for a model.
+    /// Number of prompt tokens, for a request to a model.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prompt_tokens: Option<u64>,
-    /// Each server that it was sent to, in order.
+    /// The attempts to send the request to a server, in order.
     pub sends: &'a [SendLine],
-    /// Some of the servers that would have taken it, where all of these rest or leave.
+    /// Some of the eligible servers, if all of these are on hold.
     #[serde(skip_serializing_if = "<[String]>::is_empty")]
     pub servers_held: &'a [String],
-    /// Lines of this result that were held back since the last one that was written.
+    /// Number of lines with this result code suppressed since the last written one.
     pub held_back: u64,
 }
 
-/// One send of a request.
+/// One attempt to send a request to a server.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SendLine {
@@ -230,40 +231,40 @@
     /// Epoch of its group, for a model server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub epoch: Option<u64>,
-    /// When, in milliseconds after the request's arrival.
+    /// Time since the arrival of the request, in milliseconds.
     pub at_ms: u64,
     /// Who chose the server, for a model server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub chosen_by: Option<ChosenBy>,
-    /// How it ended, if it did not bring the answer.
+    /// Outcome, if the attempt did not provide the answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ended: Option<String>,
-    /// Status of the server's answer, if there was one.
+    /// HTTP status of the server's response, if there was one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// For how long the server asked to be sent nothing, in milliseconds.
+    /// Back-off that the server requested by `Retry-After`, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The server said that it leaves.
+    /// Whether the server announced that it shuts down.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
-    /// Requests a second that the server said it takes from all senders together.
+    /// Rate limit announced by the server, in requests per second from all senders together.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit_per_second: Option<f64>,
 }
 
-/// Who chose the group for a request.
+/// Which component chose the group for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub enum ChosenBy {
     /// The control leader, or the dispatcher of its groups.
     Dispatcher,
-    /// This entry, by its own figures.
+    /// This entry, based on its own load data.
     Entry,
 }
 
 impl<'a> EventLine<'a> {
-    /// A change with its code.
+    /// Creates an event line.
     pub fn new(
         subject: String,
         reason: &'a str,
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,5 +1,5 @@
-//! Logs by `spdlog-rs`: one JSON object a line. Lines are handed to a thread of their own by a bounded queue; where
-//! nobody reads them, they are dropped and counted, and nothing waits.
+//! Logging with `spdlog-rs`: one JSON object per line. A bounded queue passes the lines to a writer thread. If the output
+//! is not read, lines are dropped and counted instead of blocking the caller.
 
 use crate::clock::wall_ms;
 use crate::log_line::{LineBody, LogLine, SCHEMA_VERSION};
@@ -12,15 +12,15 @@
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
 
-/// Lines that wait to be written, at most.
-const QUEUE_LINES: usize = 1_024;
-/// How long the end of the process waits for the last lines.
-const FINISH_LIMIT: Duration = Duration::from_millis(200);
+/// Maximum number of lines waiting to be written.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Time limit for writing the last lines at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Lines that were dropped because nobody read them.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Number of lines dropped because the queue was full.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Sets the process's logger up by the settings.
+/// Installs the default logger of the process as configured.
 pub fn init(settings: &Settings) -> Result<(), spdlog::Error> {
     let formatter = PatternFormatter::new(pattern!("{payload}{eol}"));
     let sink: Arc<dyn Sink> = match &settings.log_file {
@@ -28,17 +28,17 @@
         None => StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(formatter).build_arc()?,
     };
     let level = level_of(&settings.log_level);
-    spdlog::set_default_logger(queued(sink, level)?);
+    spdlog::set_default_logger(async_logger(sink, level)?);
     Ok(())
 }
 
-/// A logger that never waits for its sink.
-pub fn queued(sink: Arc<dyn Sink>, level: Level) -> Result<Arc<Logger>, spdlog::Error> {
-    let capacity = NonZeroUsize::new(QUEUE_LINES).unwrap_or(NonZeroUsize::MIN);
+/// Creates a logger that never blocks on its sink.
+pub fn async_logger(sink: Arc<dyn Sink>, level: Level) -> Result<Arc<Logger>, spdlog::Error> {
+    let capacity = NonZeroUsize::new(QUEUE_CAPACITY).unwrap_or(NonZeroUsize::MIN);
     let writer = ThreadPool::builder().capacity(capacity).build_arc()?;
-    // A full queue is an error of the logger's call, not of the sink behind the queue.
+    // A full queue is reported to the error handler of the logger, not to that of the sink behind the queue.
     let count_dropped = ErrorHandler::new(|_| {
-        DROPPED.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     });
     let queue = AsyncPoolSink::builder()
         .sink(sink)
@@ -53,30 +53,30 @@
     Ok(Arc::new(logger))
 }
 
-/// Writes one line.
+/// Writes one log line.
 pub fn write(daemon: &str, body: LineBody<'_>) {
     let line = LogLine { schema: SCHEMA_VERSION, at_ms: wall_ms(), daemon, body };
     let Ok(text) = serde_json::to_string(&line) else { return };
     spdlog::info!("{}", text);
 }
 
-/// Lines dropped so far.
-pub fn dropped() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+/// Returns the number of lines dropped so far.
+pub fn dropped_lines() -> u64 {
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Waits shortly for the last lines to be written.
-pub fn finish() {
-    let (done, finished) = mpsc::channel();
+/// Waits up to [`FLUSH_TIMEOUT`] for the last lines to be written.
+pub fn shutdown() {
+    let (done, flushed) = mpsc::channel();
     std::thread::spawn(move || {
         spdlog::default_logger().flush();
-        // What is queued is written when the last logger that uses the queue goes.
+        // Dropping the last logger that uses the queue writes the queued lines.
         if let Ok(empty) = Logger::builder().build() {
             drop(spdlog::swap_default_logger(Arc::new(empty)));
         }
         let _ = done.send(());
     });
-    let _ = finished.recv_timeout(FINISH_LIMIT);
+    let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
 }
 
 fn level_of(name: &str) -> Level {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `dockwoodd`: the daemon.
+//! `dockwoodd`: the dockwood daemon.
 
 use dockwood_daemon::cli;
 use dockwood_daemon::own_dialect::OwnDialect;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `prometheus`: what repeats is counted here.
+//! Prometheus metrics of a daemon.
 
 use dockwood_api::peer::PeerVolume;
 use dockwood_control::ZoneCounts;
@@ -10,10 +10,10 @@
 /// Upper bounds of latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.6, 2.5, 5.0, 10.0];
-/// Upper bounds of disk buckets, in seconds.
+/// Upper bounds of log sync buckets, in seconds.
 const SYNC_BUCKETS: [f64; 10] = [0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.05, 0.25, 1.0];
 
-/// Upper bounds of the control thread's buckets, in seconds: a turn of 50 ms is half of a leader's time between heartbeats.
+/// Upper bounds of control turn buckets, in seconds: a turn of 50 ms is half of the interval between a leader's heartbeats.
 const TURN_BUCKETS: [f64; 11] = [0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.5];
 
 /// All metrics of one daemon.
@@ -22,15 +22,15 @@
     registry: Registry,
     /// Answers to callers by result code.
     pub answers: IntCounterVec,
-    /// Lines on requests that were written.
+    /// Request log lines written.
     pub request_lines_written: IntCounter,
-    /// Lines on requests that were held back, so that logs stay small under load.
+    /// Request log lines suppressed by the line budget, which keeps logs small under load.
     pub request_lines_held_back: IntCounter,
     /// Refused operator calls by result code.
     pub operator_refusals: IntCounterVec,
     /// Time to the first token by tier.
     pub first_token_seconds: HistogramVec,
-    /// Time waited for a slot by tier.
+    /// Queueing time for a slot by tier.
     pub queue_seconds: HistogramVec,
     /// Tokens sent to callers.
     pub tokens: IntCounter,
@@ -38,50 +38,49 @@
     pub in_flight: IntGauge,
     /// Retries by reason.
     pub retries: IntCounterVec,
-    /// Retries that the budget refused.
+    /// Retries refused by the retry budget.
     pub retries_refused: IntCounter,
-    /// Sends that ended with the process of their server.
+    /// Sends that failed because the process of the server ended.
     pub sends_server_ended: IntCounter,
-    /// Answers by which servers asked for something, by what: to rest, to leave, or something that can't be read.
+    /// Responses with a pushback signal, by signal: back-off, shutdown, rate limit or unreadable.
     pub server_signals: IntCounterVec,
-    /// Servers that are sent nothing, as they rest or leave, by which of the two.
+    /// Servers on hold by reason.
     pub servers_held_back: IntGaugeVec,
-    /// Requests that were not sent to a server that rests or leaves, by what became of them: stopped at the moment of
-    /// writing, made to wait, or refused.
+    /// Requests not sent to a server on hold, by result: stopped immediately before the write, delayed, or refused.
     pub held_back: IntCounterVec,
-    /// Answers to entries that asked to send to servers whose limits this daemon shares out, by outcome.
+    /// Requests for a turn at the servers for which this daemon is the limiter, by result.
     pub limit_turns: IntCounterVec,
-    /// Steps of requests under which servers may end, by step.
+    /// Steps in the handling of suspected poison requests, by step.
     pub suspect_steps: IntCounterVec,
-    /// Requests that are suspected, as far as this daemon knows.
+    /// Suspected poison requests known to this daemon.
     pub suspects: IntGauge,
-    /// Requests under quarantine or on probation, as far as this daemon knows.
+    /// Requests under quarantine or on probation known to this daemon.
     pub quarantined_requests: IntGauge,
-    /// Calls between daemons received, by method.
+    /// Calls received from other daemons, by method.
     pub peer_calls: IntCounterVec,
-    /// Calls between daemons that failed.
+    /// Failed calls to other daemons.
     pub peer_failures: IntCounter,
-    /// Calls passed on to the leader for other daemons.
+    /// Calls relayed to the leader for other daemons.
     pub relayed_calls: IntCounter,
-    /// Frames and bytes exchanged with daemons, by direction and unit.
+    /// Frames and bytes exchanged with other daemons, by direction and unit.
     pub peer_volume: IntGaugeVec,
     /// Calls to plain services by service and result.
     pub service_calls: IntCounterVec,
     /// Groups that this entry may send new requests to, by service.
     pub open_groups: IntGaugeVec,
-    /// Requests sent to servers that were cold, by service.
+    /// Requests sent to cold servers, by service.
     pub cold_sends: IntCounterVec,
-    /// Most requests that this daemon sent to one cold server within a second since its start.
+    /// Maximum number of requests that this daemon has sent to one cold server within a second.
     pub cold_sends_peak: IntGauge,
-    /// Requests that were not sent where they would have been, for the limit of cold servers, by reason.
+    /// Requests not sent to the server that was selected for them because of the limit on cold servers, by reason.
     pub cold_limited: IntCounterVec,
-    /// Servers that take requests and are cold, by service.
+    /// Cold servers that accept requests, by service.
     pub cold_servers: IntGaugeVec,
-    /// Open groups that a member leaves.
+    /// Open groups with a leaving member.
     pub departing_groups: IntGauge,
-    /// Zones that are evacuated, as far as this daemon knows.
+    /// Evacuated zones known to this daemon.
     pub evacuated_zones: IntGauge,
-    /// Requests kept from evacuated zones: sent elsewhere at the last moment, or refused.
+    /// Requests kept from evacuated zones, by result: redirected immediately before the write, or refused.
     pub kept_from_evacuated_zones: IntCounterVec,
     /// Probes of machines by result.
     pub probes: IntCounterVec,
@@ -93,30 +92,30 @@
     pub lease_held: IntGauge,
     /// 1 while this daemon leads the control group.
     pub is_leader: IntGauge,
-    /// Voters of the control group, as applied by this member.
+    /// Voters of the control group in the state applied by this member.
     pub voters: IntGauge,
-    /// The same by zone; those of unknown zone under an empty name.
+    /// Voters of the control group by zone; the label is empty for an unknown zone.
     pub voters_by_zone: IntGaugeVec,
-    /// Calls by which this daemon, as the leader, made itself known to daemons that had not asked it.
+    /// Announcements sent by this daemon as the leader to daemons that had not requested a lease from it.
     pub leader_calls: IntCounter,
-    /// Requests for leases that this voter passed to the leader together with others.
+    /// Lease requests that this voter reported to the leader in batches.
     pub delegated_leases: IntCounter,
     /// Waiting requests by pool and tier, at their coordinator.
     pub pool_waiting: IntGaugeVec,
     /// Slots in use by replica, at their coordinator.
     pub replica_slots_used: IntGaugeVec,
-    /// Time that the control thread worked in one turn.
+    /// Duration of a turn of the control thread without idle time.
     pub control_turn_seconds: Histogram,
-    /// The same by kind of work, for turns that had any of it.
+    /// Time per turn spent on a kind of work, for turns in which it is not zero.
     pub control_work_seconds: HistogramVec,
-    /// Time of a synced write to the log.
+    /// Duration of a synced write to the log.
     pub log_sync_seconds: Histogram,
-    /// Commands in one synced write.
+    /// Committed commands applied from the log.
     pub commands_committed: IntCounter,
 }
 
 impl Metrics {
-    /// Registers everything.
+    /// Creates and registers all metrics.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let registry = Registry::new();
         let counters =
@@ -298,7 +297,7 @@
         })
     }
 
-    /// Shows the voters of the control group.
+    /// Sets the gauges for the voters of the control group.
     pub fn set_voters(&self, counts: &ZoneCounts) {
         self.voters.set(counts.total() as i64);
         self.voters_by_zone.reset();
@@ -309,7 +308,7 @@
         }
     }
 
-    /// All metrics in prometheus's text form.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let volume = PeerVolume::now();
         for (direction, unit, value) in [
@@ -321,7 +320,7 @@
             self.peer_volume.with_label_values(&[direction, unit]).set(value as i64);
         }
         let mut text = Vec::new();
-        // Writing to memory can't fail; a metric that can't be encoded is left out.
+        // Writing to memory can't fail; metrics that can't be encoded are omitted.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/crates/daemon/src/own_dialect.rs
+++ b/crates/daemon/src/own_dialect.rs
@@ -1,4 +1,5 @@
-//! dockwood's own protocol for the gateway: headers that begin with `dockwood-`, and the JSON form of the API's types.
+//! The native gateway protocol of dockwood: headers with the prefix `dockwood-`, and the JSON representation of the API
+//! types.
 
 use crate::dialect::{Dialect, DirectoryQuery, EncodedCall, HeaderNames, OperatorCall};
 use crate::pushback::SignalHeaders;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// By which servers ask for something in the project's own protocol.
+/// Headers of pushback signals in the native protocol.
 pub const OWN_SIGNALS: SignalHeaders = SignalHeaders { leaving: HEADER_LEAVING, limit: HEADER_LIMIT };
 const HEADERS: HeaderNames = HeaderNames {
     attempt: "dockwood-attempt",
@@ -33,7 +34,7 @@
 const ORDERS: &str = "/group/orders";
 const REPORT: &str = "/group/report";
 
-/// The project's own protocol.
+/// The native protocol of dockwood.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnDialect;
 
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: starts every part, waits for a planned stop, and ends in order.
+//! Process lifecycle: starts all components, waits for a graceful shutdown, and stops them in order.
 
 use crate::clock::{monotonic_ms, wall_ms};
 use crate::control::{
@@ -16,7 +16,7 @@
     EngineClient, Reporter, run_machine_prober, run_platform_reader, run_replica_watcher, run_reporter,
 };
 use crate::pushback::run_limit_sync;
-use crate::settings::{GatewaySettings, Settings, run_settings_reader};
+use crate::settings::{GatewaySettings, Settings, run_settings_reloader};
 use crate::shared::Shared;
 use crate::suspects::run_reporting;
 use crate::traffic::Traffic;
@@ -30,28 +30,29 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a planned stop waits for the control group to take note.
-const LEAVE_LIMIT: Duration = Duration::from_secs(10);
-/// How long a planned stop waits for requests in flight.
-const DRAIN_LIMIT: Duration = Duration::from_secs(600);
-/// Time between looks at whether a planned stop may go on.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// Callers keep a directory answer for up to this many of its lifetimes.
-const ANSWERS_KEPT_LIFETIMES: u32 = 3;
-/// A planned stop takes new requests for at most this share of its limit, in percent: the rest is for finishing them.
-const ACCEPTS_FOR_PERCENT: u32 = 30;
-/// A planned stop ends this much before its limit.
+/// Time limit for the control group to acknowledge a graceful shutdown.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that a graceful shutdown waits for requests in flight.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
+/// Time between checks whether a graceful shutdown can proceed.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Callers cache a directory answer for up to this multiple of its lifetime.
+const ANSWER_CACHE_LIFETIMES: u32 = 3;
+/// Maximum share of the time limit of a graceful shutdown in which new requests are accepted, in percent: the rest is for
+/// finishing them.
+const MAX_ACCEPT_PERCENT: u32 = 30;
+/// A graceful shutdown ends this much before its time limit.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
-/// Connections to one engine or service that are kept for later use.
-const IDLE_CONNECTIONS: usize = 64;
+/// Maximum number of idle connections kept to one engine or service.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// What a daemon starts with.
-pub struct Start {
-    /// Settings.
+/// Options that a daemon is started with.
+pub struct ProcessOptions {
+    /// Settings of the daemon.
     pub settings: Settings,
-    /// Where they were read from.
+    /// File that they were read from.
     pub settings_path: PathBuf,
-    /// The deployment's protocol.
+    /// Protocol of the deployment.
     pub dialect: Arc<dyn Dialect>,
 }
 
@@ -62,64 +63,64 @@
 }
 
 quick_error! {
-    /// Why the process ends with a failure.
+    /// Error that ends the process.
     #[derive(Debug)]
     pub enum ProcessError {
-        /// An address can't be listened on.
+        /// Binding a listen address failed.
         Listen(address: SocketAddr, error: std::io::Error) {
             display("{}: {}: {}", ResultCode::ListenFailed, address, error)
         }
-        /// The voter's state can't be read.
+        /// The persistent state of the voter can't be read.
         Start(error: StartError) {
             display("{}", error)
             from()
         }
-        /// The log sink, the metrics, a runtime or a thread can't be made.
+        /// Creating the log sink, the metrics, a runtime or a thread failed.
         Setup(message: String) {
             display("{}", message)
         }
-        /// The control thread ended.
+        /// The control thread ended unexpectedly.
         Control(message: String) {
             display("{}", message)
         }
     }
 }
 
-fn setup(error: impl std::fmt::Display) -> ProcessError {
+fn setup_error(error: impl std::fmt::Display) -> ProcessError {
     ProcessError::Setup(error.to_string())
 }
 
-fn listen(address: SocketAddr) -> Result<TcpListener, ProcessError> {
+fn bind(address: SocketAddr) -> Result<TcpListener, ProcessError> {
     let listener = TcpListener::bind(address).map_err(|error| ProcessError::Listen(address, error))?;
     listener.set_nonblocking(true).map_err(|error| ProcessError::Listen(address, error))?;
     Ok(listener)
 }
 
-/// Binds the gateway's addresses.
+/// Binds the listen addresses of the gateway.
 fn gateway_listeners(settings: &Settings) -> Result<GatewayListeners, ProcessError> {
     let Some(gateway) = &settings.gateway else { return Ok(GatewayListeners::default()) };
     Ok(GatewayListeners {
-        frontend: gateway.frontend.map(listen).transpose()?,
-        readiness: gateway.readiness.map(listen).transpose()?,
-        directory: gateway.directory.map(listen).transpose()?,
-        operators: gateway.operators.map(listen).transpose()?,
+        frontend: gateway.frontend.map(bind).transpose()?,
+        readiness: gateway.readiness.map(bind).transpose()?,
+        directory: gateway.directory.map(bind).transpose()?,
+        operators: gateway.operators.map(bind).transpose()?,
     })
 }
 
-/// Runs the daemon to its end.
-pub fn run(start: Start) -> Result<(), ProcessError> {
-    let Start { settings, settings_path, dialect } = start;
-    logging::init(&settings).map_err(setup)?;
-    let ended = run_with_logs(Start { settings, settings_path, dialect });
-    logging::finish();
+/// Runs the daemon until it ends.
+pub fn run(options: ProcessOptions) -> Result<(), ProcessError> {
+    let ProcessOptions { settings, settings_path, dialect } = options;
+    logging::init(&settings).map_err(setup_error)?;
+    let ended = run_with_logging(ProcessOptions { settings, settings_path, dialect });
+    logging::shutdown();
     ended
 }
 
-fn run_with_logs(start: Start) -> Result<(), ProcessError> {
-    let Start { settings, settings_path, dialect } = start;
-    let metrics = Metrics::new().map_err(setup)?;
-    let http_listener = listen(settings.http)?;
-    let peer_listener = listen(settings.peer)?;
+fn run_with_logging(options: ProcessOptions) -> Result<(), ProcessError> {
+    let ProcessOptions { settings, settings_path, dialect } = options;
+    let metrics = Metrics::new().map_err(setup_error)?;
+    let http_listener = bind(settings.http)?;
+    let peer_listener = bind(settings.peer)?;
     let gateway_listeners = gateway_listeners(&settings)?;
     let started = StartedControl::open(&settings, &metrics)?;
     let member_id = started.member_id;
@@ -128,11 +129,14 @@
         .thread_name("traffic")
         .enable_all()
         .build()
-        .map_err(setup)?;
+        .map_err(setup_error)?;
     let voter_links = member_id.map(|_| voter_links_runtime()).transpose()?;
     let (control, messages) = ControlHandle::new();
     let shared = Arc::new(Shared::new(settings, wall_ms(), metrics, control));
-    let http = reqwest::Client::builder().pool_max_idle_per_host(IDLE_CONNECTIONS).build().map_err(setup)?;
+    let http = reqwest::Client::builder()
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
+        .build()
+        .map_err(setup_error)?;
     let orders = OrderSender::new(shared.clone(), http.clone(), runtime.handle().clone());
     let group_orders =
         GroupOrderSender::new(shared.clone(), dialect.clone(), http.clone(), runtime.handle().clone());
@@ -147,19 +151,19 @@
             tokio::spawn(run_admission(shared.clone(), member_id));
             tokio::spawn(run_pulse(shared.clone()));
         }
-        tokio::spawn(run_settings_reader(shared.clone(), settings_path));
+        tokio::spawn(run_settings_reloader(shared.clone(), settings_path));
         serve(shared, dialect, http, listeners, control_ended).await
     })
 }
 
-/// A thread for messages to the other voters: the leader's heartbeats must wait neither for the traffic's calls nor for the
-/// control thread's disk.
+/// Creates a single-threaded runtime for messages to the other voters, so that the leader's heartbeats are delayed neither by
+/// calls of the traffic threads nor by disk writes of the control thread.
 fn voter_links_runtime() -> Result<tokio::runtime::Runtime, ProcessError> {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
-    builder.worker_threads(1).thread_name("voter-links").enable_all().build().map_err(setup)
+    builder.worker_threads(1).thread_name("voter-links").enable_all().build().map_err(setup_error)
 }
 
-/// Starts the control thread; the receiver shows how it ended.
+/// Starts the control thread; the receiver gets its result when it ends.
 fn start_control(
     control: ControlThread,
 ) -> Result<watch::Receiver<Option<Result<(), String>>>, ProcessError> {
@@ -174,7 +178,7 @@
         };
         ended.send_replace(Some(result));
     };
-    std::thread::Builder::new().name("control".to_string()).spawn(run).map_err(setup)?;
+    std::thread::Builder::new().name("control".to_string()).spawn(run).map_err(setup_error)?;
     Ok(control_ended)
 }
 
@@ -188,7 +192,7 @@
     let reporter = Arc::new(Reporter::default());
     let traffic = Traffic::start(shared.clone(), reporter.clone(), http.clone());
     let engines = EngineClient::new(http.clone());
-    let peer_listener = tokio::net::TcpListener::from_std(listeners.peer).map_err(setup)?;
+    let peer_listener = tokio::net::TcpListener::from_std(listeners.peer).map_err(setup_error)?;
     tokio::spawn(serve_peers(shared.clone(), traffic.clone(), peer_listener));
     tokio::spawn(run_lease_client(shared.clone()));
     tokio::spawn(run_machine_prober(shared.clone(), engines.clone(), reporter.clone()));
@@ -197,14 +201,14 @@
     tokio::spawn(run_reporting(shared.clone()));
     tokio::spawn(run_limit_sync(shared.clone()));
     tokio::spawn(run_platform_reader(shared.clone(), http));
-    let gateway = Gateway::start(shared.clone(), dialect, listeners.gateway).map_err(setup)?;
+    let gateway = Gateway::start(shared.clone(), dialect, listeners.gateway).map_err(setup_error)?;
     let (stop, mut stopped) = watch::channel(false);
     let app = App { shared: shared.clone(), traffic };
     let serving = tokio::spawn(serve_http(app, listeners.http, async move {
         let _ = stopped.wait_for(|stopped| *stopped).await;
     }));
     tokio::select! {
-        () = planned_stop(&shared, &gateway) => {}
+        () = shut_down_on_signal(&shared, &gateway) => {}
         ended = control_ended.wait_for(Option::is_some) => {
             let message = match ended.as_deref() {
                 Ok(Some(Err(message))) => message.clone(),
@@ -219,9 +223,9 @@
     Ok(())
 }
 
-/// Waits for SIGTERM or SIGINT; then leaves the entry answers, finishes what is in flight, and lets every
-/// answer that names this daemon run out.
-async fn planned_stop(shared: &Arc<Shared>, gateway: &Gateway) {
+/// Waits for SIGTERM or SIGINT; then removes this daemon from entry answers, finishes the requests in flight, and waits until
+/// every answer that contains this daemon has expired.
+async fn shut_down_on_signal(shared: &Arc<Shared>, gateway: &Gateway) {
     use tokio::signal::unix::{SignalKind, signal};
     match signal(SignalKind::terminate()) {
         Ok(mut terminate) => {
@@ -231,7 +235,7 @@
             }
         }
         Err(error) => {
-            let message = format!("no signal handler: {error}");
+            let message = format!("failed to install the signal handler: {error}");
             logging::write(&shared.settings.name, LineBody::Fault { message: &message });
             std::future::pending::<()>().await;
         }
@@ -240,49 +244,49 @@
     shared.set_leaving();
     shared.timeline.record(subject(), "StopBegun", "takes no new work", None, ResultCode::DaemonLeaving);
     if let Some(settings) = &shared.settings.gateway {
-        stop_gateway(shared, gateway, settings).await;
+        shut_down_gateway(shared, gateway, settings).await;
         return;
     }
-    let known = wait_until(LEAVE_LIMIT, || duties_moved(shared)).await;
-    // Counted from here: until now, another daemon may have named this one.
+    let known = wait_until(LEAVE_TIMEOUT, || duties_handed_over(shared)).await;
+    // Starts only now, because other daemons may have returned this one in their answers until here.
     let lifetime_ends = monotonic_ms() + shared.settings.entry_lifetime.as_millis() as u64;
     let drained =
-        wait_until(DRAIN_LIMIT, || shared.in_flight() == 0 && monotonic_ms() >= lifetime_ends).await;
+        wait_until(DRAIN_TIMEOUT, || shared.in_flight() == 0 && monotonic_ms() >= lifetime_ends).await;
     let message = format!("leaving known: {known}; nothing in flight: {drained}");
     shared.timeline.record(subject(), "StopEnded", &message, None, ResultCode::Ok);
 }
 
-/// How long a planned stop goes on taking requests: while callers may hold a directory answer that names this daemon,
-/// but not so long that what is taken last can't be finished.
-pub fn accepts_for(settings: &GatewaySettings) -> Duration {
-    let held_for = settings.answer_lifetime * ANSWERS_KEPT_LIFETIMES + Duration::from_millis(200);
-    held_for.min(settings.stop_limit * ACCEPTS_FOR_PERCENT / 100)
+/// Returns the time for which a graceful shutdown continues to accept requests: while callers may have cached a directory
+/// answer that contains this daemon, but not so long that the last accepted requests can't be finished.
+pub fn accept_duration(settings: &GatewaySettings) -> Duration {
+    let cached_for = settings.answer_lifetime * ANSWER_CACHE_LIFETIMES + Duration::from_millis(200);
+    cached_for.min(settings.stop_limit * MAX_ACCEPT_PERCENT / 100)
 }
 
-/// Serves on while callers may still hold a directory answer that names this daemon, then ends connections as they
-/// come to rest.
-async fn stop_gateway(shared: &Shared, gateway: &Gateway, settings: &GatewaySettings) {
+/// Accepts requests while callers may have cached a directory answer that contains this daemon, then closes each connection
+/// once it is idle.
+async fn shut_down_gateway(shared: &Shared, gateway: &Gateway, settings: &GatewaySettings) {
     let began = tokio::time::Instant::now();
     let ends_at = began + settings.stop_limit.saturating_sub(STOP_MARGIN);
     if settings.frontend.is_some() {
-        tokio::time::sleep_until(began + accepts_for(settings)).await;
+        tokio::time::sleep_until(began + accept_duration(settings)).await;
     }
     gateway.close_connections();
     let idle = async {
         while shared.in_flight() > 0 {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
     let drained = tokio::time::timeout_at(ends_at, idle).await.is_ok();
-    // The last answers are with the system, but may not have left yet.
-    tokio::time::sleep(DRAIN_POLL).await;
+    // The last answers are in socket buffers, but may not have been sent yet.
+    tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     let message = format!("nothing in flight: {drained}");
     let subject = Subject::new("daemon", &shared.settings.name);
     shared.timeline.record(subject, "StopEnded", &message, None, ResultCode::Ok);
 }
 
-/// Whether the control group knows of the stop, and others have this daemon's duties.
-fn duties_moved(shared: &Shared) -> bool {
+/// Returns whether the control group knows of the shutdown and other daemons have taken over the duties of this one.
+fn duties_handed_over(shared: &Shared) -> bool {
     let tables = shared.tables();
     let own = Some(&shared.settings.name);
     let leaving = tables
@@ -298,7 +302,7 @@
 async fn wait_until(limit: Duration, condition: impl Fn() -> bool) -> bool {
     let waiting = async {
         while !condition() {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
     tokio::time::timeout(limit, waiting).await.is_ok()
--- a/crates/daemon/src/published.rs
+++ b/crates/daemon/src/published.rs
@@ -1,5 +1,5 @@
-//! What the control thread publishes for all other threads: an immutable copy of the tables, and a routing
-//! table made from it.
+//! State that the control thread publishes for all other threads: an immutable copy of the tables, and a routing table
+//! derived from it.
 
 use dockwood_api::resource::{DeploymentSpec, TenantSpec};
 use dockwood_routing::{ChoicePolicy, PoolConfig, PoolReplica, TenantShare};
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Where requests for one model name may go.
+/// A destination for requests that specify a model name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Deployment, which names the pool.
+    /// Pool, which has the name of its deployment.
     pub pool: String,
-    /// Adapter to run with, where the name is an adapter's.
+    /// Adapter to use, if the model name is that of an adapter.
     pub adapter: Option<String>,
 }
 
@@ -24,19 +24,19 @@
     tenants_by_key: HashMap<String, String>,
 }
 
-/// One published copy.
+/// One published version of the state.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
     /// The tables.
     pub tables: Arc<Tables>,
-    /// Newest revision in force everywhere, as far as known.
+    /// Newest revision known to be in force everywhere.
     pub in_force_revision: u64,
-    /// Routes.
+    /// Routes derived from the tables.
     pub routing: Arc<RoutingTable>,
 }
 
 impl RoutingTable {
-    /// Builds the routes that the tables declare.
+    /// Builds the routes that the resources in the tables declare.
     pub fn build(tables: &Tables) -> RoutingTable {
         let mut table = RoutingTable::default();
         for (name, spec) in tables.deployments() {
@@ -55,31 +55,31 @@
         table
     }
 
-    /// The tenant of a presented key.
+    /// Returns the tenant of a presented key.
     pub fn tenant_of(&self, key: &str) -> Option<&str> {
-        // What is presented is always hashed, also if it looks like a digest.
+        // A presented key is always hashed, even if it looks like a digest.
         let digest = dockwood_api::digest::presented_digest(key);
         self.tenants_by_key.get(&digest).map(String::as_str)
     }
 
-    /// Routes for a model or adapter name.
+    /// Returns the routes for a model or adapter name.
     pub fn routes(&self, model: &str) -> &[Route] {
         self.routes.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// All names that can be asked for.
+    /// Returns all model and adapter names that have a route.
     pub fn models(&self) -> impl Iterator<Item = &str> {
         self.routes.keys().map(String::as_str)
     }
 }
 
 impl Published {
-    /// Whether a tenant may use a deployment.
+    /// Returns whether a tenant may use a deployment.
     pub fn may_use(&self, tenant: &str, deployment: &str) -> bool {
         self.tables.deployment(deployment).is_some_and(|spec| is_allowed(tenant, &spec.tenants))
     }
 
-    /// The routes that a tenant may use for a model name, serving ones first.
+    /// Returns the routes that a tenant may use for a model name, in descending order of serving replicas.
     pub fn routes_for(&self, tenant: &str, model: &str) -> Vec<Route> {
         let allowed = self.routing.routes(model).iter().filter(|route| self.may_use(tenant, &route.pool));
         let mut routes: Vec<Route> = allowed.cloned().collect();
@@ -93,12 +93,12 @@
         serving.count()
     }
 
-    /// The head's address of a replica.
+    /// Returns the address of the head of a replica, its first member.
     pub fn head_of(&self, members: &[String]) -> Option<SocketAddr> {
         self.tables.server(members.first()?).map(|server| server.address)
     }
 
-    /// What a coordinator must know of a pool.
+    /// Returns the configuration of a pool for its coordinator.
     pub fn pool_config(&self, name: &str, spec: &DeploymentSpec) -> PoolConfig {
         let replicas = self.tables.replicas_of(name).filter_map(|replica| {
             Some(PoolReplica {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Whether a list of tenants lets one pass; an empty list lets all.
+/// Returns whether a list of allowed tenants contains a tenant; an empty list allows all.
 pub fn is_allowed(tenant: &str, allowed: &[String]) -> bool {
     allowed.is_empty() || allowed.iter().any(|name| name == tenant)
 }
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks between fields, once each can be read by itself.
+//! Validates settings across fields, after each field was read by itself.
 
 use super::Settings;
 use super::reader::LocatedSettings;
@@ -10,7 +10,7 @@
 pub(super) fn check(settings: &LocatedSettings, problems: &mut Problems) {
     let line = |field: &str| settings.lines.get(field).copied().unwrap_or(0);
     let values = &settings.values;
-    if overlap(values.http, values.peer) {
+    if is_conflicting(values.http, values.peer) {
         let message = format!("is the address of listen.http too: {}", values.http);
         problems.add(ResultCode::SettingsOverlap, line("listen.peer"), "listen.peer", message);
     }
@@ -18,10 +18,10 @@
     check_tokens(values, problems);
 }
 
-/// Whether both can't be listened on: the same port of one address, or of all addresses.
-fn overlap(left: SocketAddr, right: SocketAddr) -> bool {
-    let same_address = left.ip() == right.ip() || left.ip().is_unspecified() || right.ip().is_unspecified();
-    left.port() == right.port() && same_address
+/// Returns whether two listen addresses conflict: the same port on the same address, or on a wildcard address.
+fn is_conflicting(left: SocketAddr, right: SocketAddr) -> bool {
+    let has_same_ip = left.ip() == right.ip() || left.ip().is_unspecified() || right.ip().is_unspecified();
+    left.port() == right.port() && has_same_ip
 }
 
 fn check_voters(values: &Settings, line: &dyn Fn(&str) -> usize, problems: &mut Problems) {
@@ -63,7 +63,7 @@
 }
 
 fn check_tokens(values: &Settings, problems: &mut Problems) {
-    // A gateway may be run without the resource API.
+    // A gateway may run without the resource API, which needs the tokens.
     if values.tokens.is_empty() && values.gateway.is_none() {
         problems.add(ResultCode::SettingsMissing, 0, "tokens", "needs at least one token");
     }
--- a/crates/daemon/src/settings/gateway.rs
+++ b/crates/daemon/src/settings/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's part of the settings.
+//! The `gateway` section of the settings.
 
 use super::section::{Problems, Section, line_of};
 use dockwood_api::ResultCode;
@@ -10,68 +10,68 @@
 
 const DEFAULT_ANSWER_LIFETIME_MS: u64 = 1_000;
 const DEFAULT_STOP_LIMIT: Duration = Duration::from_secs(8);
-/// A leader takes a tenth of a core for some 400 requests a second, each of which is also reported; measured with 300
-/// entries, it can't see 940.
+/// A leader uses a tenth of a core for about 400 requests per second, each of which is also reported (measured with 300
+/// entries); it cannot keep track of 940.
 const DEFAULT_LEADER_DISPATCHES_UP_TO: u64 = 64;
-/// Part of the time for taking a key away that a daemon's lease may last, in percent; the rest is for requests that were
-/// taken just before it ran out.
+/// Maximum duration of a daemon's lease, as a percentage of the time limit for revoking a key; the rest is for requests that
+/// were accepted just before the lease expired.
 const LEASE_PERCENT_OF_REVOCATION: u64 = 60;
 const DEFAULT_BUDGET_PERCENT: u64 = 20;
 const DEFAULT_BUDGET_WINDOW: Duration = Duration::from_secs(10);
 const DEFAULT_BUDGET_EXTRA: u64 = 50;
-/// Most of what a cold server declares that may be allowed, as a multiple: with more, the declared rate would mean
-/// nothing.
-const MOST_COLD_OVERSHOOT: f64 = 10.0;
-/// Most arrivals a second that may be allowed beyond that, for the same reason.
-const MOST_COLD_EXTRA: u64 = 1_000;
+/// Maximum permitted multiple of the declared rate of a cold server: with more, the declared rate would be
+/// meaningless.
+const MAX_COLD_OVERSHOOT: f64 = 10.0;
+/// Maximum permitted requests per second in addition to that, for the same reason.
+const MAX_COLD_EXTRA: u64 = 1_000;
 
-/// Bounds on second sends over all daemons: within any window no more than a share of the requests, and some extra.
+/// Retry budget of all daemons together: in any window, retries are limited to a percentage of the requests plus a constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudgetSettings {
-    /// Second sends for a hundred requests.
+    /// Retries per hundred requests.
     pub percent: u64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Second sends beyond the share, within one window.
+    /// Additional retries per window.
     pub extra: u64,
 }
 
-/// Where a daemon takes the gateway's callers, and within which bounds.
+/// Listen addresses and limits of a daemon's gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySettings {
-    /// Takes callers' requests.
+    /// Listens for callers' requests.
     pub frontend: Option<SocketAddr>,
-    /// Answers whether this daemon takes new work.
+    /// Listens for readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Answers callers which addresses to use.
+    /// Listens for directory queries, which return the entries that callers may use.
     pub directory: Option<SocketAddr>,
-    /// Takes operators' calls and servers' reports.
+    /// Listens for operators' calls and servers' reports.
     pub operators: Option<SocketAddr>,
-    /// How long callers may keep the directory's answer.
+    /// Time for which callers may cache a directory answer.
     pub answer_lifetime: Duration,
-    /// How long a planned stop may take.
+    /// Time limit of a graceful shutdown.
     pub stop_limit: Duration,
-    /// How long a group that lost a member is stalled before it is broken.
+    /// Time that a group stalls after the loss of a member before it breaks.
     pub stall: Duration,
-    /// How long a server that leaves serves on at least, once its word was acknowledged.
+    /// Minimum time that a leaving server continues to serve after its announcement was acknowledged.
     pub drain: Duration,
-    /// How often servers send heartbeats.
+    /// Interval of the servers' heartbeats.
     pub heartbeat: HeartbeatInterval,
-    /// Entries up to which the control leader assigns each request to a group and takes each server's report; with more,
-    /// daemons near the groups and servers do.
+    /// Maximum number of entries for which the control leader assigns all requests to groups and receives all servers'
+    /// reports; with more, daemons near the groups and servers do.
     pub leader_dispatches_up_to: usize,
-    /// The deployment's zones, each with its region; empty where they are not given.
+    /// Regions of the deployment's zones, by zone; empty if the settings have none.
     pub zone_regions: BTreeMap<String, String>,
-    /// Bounds on second sends.
+    /// Limits on retries.
     pub retry_budget: RetryBudgetSettings,
-    /// By how much the rate that cold servers declare may be exceeded, over all daemons.
+    /// By how much the declared rate of cold servers may be exceeded, over all daemons.
     pub cold_limit: ColdLimit,
-    /// No request runs under a key that was taken away longer ago than this; absent where it need not be bounded.
+    /// Time after the revocation of a key within which all requests with that key have ended; `None` if it is unbounded.
     pub revoked_within: Option<Duration>,
 }
 
 impl GatewaySettings {
-    /// The longest lease, in milliseconds, under which a key that was taken away passes no longer than allowed.
+    /// Returns the maximum duration of a lease that keeps to [`Self::revoked_within`], in milliseconds.
     pub fn lease_limit_ms(&self) -> Option<u64> {
         self.revoked_within.map(|within| within.as_millis() as u64 * LEASE_PERCENT_OF_REVOCATION / 100)
     }
@@ -105,10 +105,11 @@
     let operators = address("operators", problems);
     let lifetime = section.number("answerLifetimeMs", DEFAULT_ANSWER_LIFETIME_MS, (100, 60_000), problems);
     let stop_limit = section.seconds("stopLimitSeconds", DEFAULT_STOP_LIMIT, (1, 3_600), problems);
-    let engines = GroupingPolicy::default();
-    let stall = section.number("stallMs", engines.stall_ms, (100, 600_000), problems);
-    let drain = section.number("drainMs", engines.drain_ms, (0, 600_000), problems);
-    let heartbeat = section.number("heartbeatMs", engines.heartbeat.as_millis(), (100, 600_000), problems);
+    let default_policy = GroupingPolicy::default();
+    let stall = section.number("stallMs", default_policy.stall_ms, (100, 600_000), problems);
+    let drain = section.number("drainMs", default_policy.drain_ms, (0, 600_000), problems);
+    let heartbeat =
+        section.number("heartbeatMs", default_policy.heartbeat.as_millis(), (100, 600_000), problems);
     let dispatches_up_to =
         section.number("leaderDispatchesUpTo", DEFAULT_LEADER_DISPATCHES_UP_TO, (0, 1_000_000), problems);
     let revoked_within = match section.optional("revokedWithinMs") {
@@ -174,7 +175,7 @@
     let defaults = ColdLimit::default();
     let Some(node) = node else { return Some(defaults) };
     let section = Section::new(node, "gateway.coldLimit", &["overshoot", "extra"], problems)?;
-    let overshoot = section.multiple("overshoot", defaults.overshoot_percent, MOST_COLD_OVERSHOOT, problems);
-    let extra = section.number("extra", defaults.extra, (0, MOST_COLD_EXTRA), problems);
+    let overshoot = section.multiple("overshoot", defaults.overshoot_percent, MAX_COLD_OVERSHOOT, problems);
+    let extra = section.number("extra", defaults.extra, (0, MAX_COLD_EXTRA), problems);
     Some(ColdLimit { overshoot_percent: overshoot?, extra: extra? })
 }
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings of a daemon: read from YAML and checked whole, every fault with its number, line and field.
+//! Settings of a daemon: read from YAML and validated. All errors are reported at once, each with its code, line and
+//! field.
 
 mod check;
 mod gateway;
@@ -7,7 +8,7 @@
 mod section;
 
 pub use gateway::{GatewaySettings, RetryBudgetSettings};
-pub use reload::run_settings_reader;
+pub use reload::run_settings_reloader;
 pub use section::{Problem, Problems};
 
 use dockwood_grouping::ColdLimit;
@@ -38,27 +39,28 @@
 /// An operator's token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorToken {
-    /// For logs and events; the token itself never appears there.
+    /// Identifies the token in logs and events, which never contain the token itself.
     pub name: String,
     /// What it allows.
     pub role: OperatorRole,
-    /// The token's digest.
+    /// Digest of the token.
     pub digest: String,
 }
 
-/// How a daemon finds the control group where the settings list no voters.
+/// How a daemon finds the control group if the settings list no voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SeedSettings {
     /// Peer addresses of members of the control group.
     pub peers: Vec<SocketAddr>,
-    /// The group begins now, and the seeds are its first members.
+    /// Whether a new group is created with the seeds as its initial members.
     pub founding: bool,
-    /// This daemon is a member, or waits to become one.
+    /// Whether this daemon is a member, or waits to be admitted as one.
     pub member: bool,
-    /// Members that may be lost at once, with their disks: the group keeps twice as many voters, and one.
+    /// Number of members that may be lost at the same time, including their disks; the group has `2 * losses_tolerated + 1`
+    /// voters.
     pub losses_tolerated: usize,
-    /// Whether a whole zone may be lost: then no zone may hold half of the voters.
-    pub bears_zone_loss: bool,
+    /// Whether the group must tolerate the loss of a whole zone: then no zone may contain half of the voters.
+    pub tolerates_zone_loss: bool,
 }
 
 /// Settings of one daemon.
@@ -74,41 +76,45 @@
     pub http: SocketAddr,
     /// Address for other daemons.
     pub peer: SocketAddr,
-    /// The control group.
+    /// The voters of the control group; empty if it is found by seeds.
     pub voters: Vec<Voter>,
-    /// How the group is found, where there is no fixed list of voters.
+    /// How the group is found if there is no fixed list of voters.
     pub seeds: SeedSettings,
-    /// The gateway, if this daemon takes part in it.
+    /// Gateway settings, if this daemon is part of the gateway.
     pub gateway: Option<GatewaySettings>,
-    /// Where a voter keeps its state.
+    /// Folder for the persistent state of a member of the control group.
     pub data_folder: Option<PathBuf>,
-    /// Daemons up to which the leader answers all requests for leases itself; with more, the other voters do in its name.
+    /// Maximum number of daemons for which the leader answers all lease requests itself; with more, the other voters grant
+    /// leases on its behalf.
     pub leader_leases_up_to: usize,
     /// Operators' tokens.
     pub tokens: Vec<OperatorToken>,
-    /// The platform's list of machines, if there is one.
+    /// Address of the platform's list of machines, if there is one.
     pub platform: Option<SocketAddr>,
-    /// How long callers may keep an entry answer.
+    /// Time for which callers may cache an entry answer.
     pub entry_lifetime: Duration,
-    /// Largest body of a chat request, in bytes.
+    /// Maximum size of the body of a chat request, in bytes.
     pub max_body_bytes: usize,
-    /// Deadline of requests that name none.
+    /// Deadline of requests that specify none.
     pub default_deadline: Duration,
-    /// Worker threads for traffic.
+    /// Number of worker threads for traffic.
     pub traffic_threads: usize,
-    /// Least level that is logged.
+    /// Minimum level that is logged.
     pub log_level: String,
-    /// Log file; standard output if absent.
+    /// Log file; standard output if `None`.
     pub log_file: Option<PathBuf>,
 }
 
 impl Settings {
-    /// By how much the rate that cold servers declare may be exceeded, over all daemons.
+    /// Returns by how much the declared rate of cold servers may be exceeded, over all daemons.
     pub fn cold_limit(&self) -> ColdLimit {
         self.gateway.as_ref().map_or_else(ColdLimit::default, |gateway| gateway.cold_limit)
     }
 
-    /// Reads and checks a settings file; on failure, every problem that was found.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    /// All problems found, in order of their lines.
     pub fn read(path: &Path) -> Result<Settings, Vec<Problem>> {
         let mut problems = Problems::new(path);
         let settings = reader::read(path, &mut problems);
@@ -121,18 +127,18 @@
         }
     }
 
-    /// Whether this daemon holds the replicated log.
+    /// Returns whether this daemon is configured as a member of the control group, which stores the replicated log.
     pub fn is_control_member(&self) -> bool {
         self.seeds.member || self.own_voter().is_some()
     }
 
-    /// Peer addresses at which the control group can be asked for.
+    /// Returns the configured peer addresses of the control group.
     pub fn control_peers(&self) -> Vec<SocketAddr> {
         let listed = self.voters.iter().map(|voter| voter.peer);
         listed.chain(self.seeds.peers.iter().copied()).collect()
     }
 
-    /// This daemon's entry among the voters.
+    /// Returns this daemon's entry in the list of voters.
     pub fn own_voter(&self) -> Option<&Voter> {
         self.voters.iter().find(|voter| voter.name == self.name)
     }
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings, gathering problems instead of stopping at the first.
+//! Reads settings files and collects all problems instead of stopping at the first.
 
 use super::gateway::read_gateway;
 use super::section::{Located, Problems, Section, line_of};
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Settings with the line of each field that later checks may complain of.
+/// Settings with the line numbers of the fields that are validated later.
 pub(super) struct LocatedSettings {
     pub values: Settings,
     pub lines: BTreeMap<String, usize>,
@@ -23,11 +23,11 @@
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 const DEFAULT_TRAFFIC_THREADS: u64 = 2;
 const DEFAULT_LOSSES_TOLERATED: u64 = 1;
-const MOST_LOSSES_TOLERATED: u64 = 3;
-/// With more zones lost at once a majority would need five zones of members.
-const MOST_ZONE_LOSSES_TOLERATED: u64 = 1;
-/// Ports that one process takes from a range: for other daemons, and for operators.
-const PORTS_OF_A_SLOT: u64 = 2;
+const MAX_LOSSES_TOLERATED: u64 = 3;
+/// To tolerate the loss of two zones, the members would have to be spread over five zones.
+const MAX_ZONE_LOSSES_TOLERATED: u64 = 1;
+/// Number of ports per process in a port range: one for other daemons and one for HTTP.
+const PORTS_PER_SLOT: u64 = 2;
 const LOG_LEVELS: [&str; 6] = ["trace", "debug", "info", "warn", "error", "critical"];
 
 pub(super) fn read(path: &Path, problems: &mut Problems) -> Option<LocatedSettings> {
@@ -132,7 +132,7 @@
     Some(Listen { http: http?, peer: peer? })
 }
 
-/// Addresses by a range of free ports: each process of a machine has a slot of its own, with two ports.
+/// Derives the addresses from a port range: each process on a machine has its own slot of two ports.
 fn read_listen_range(section: &Section<'_>, problems: &mut Problems) -> Option<Listen> {
     let ip_node = section.required("ip", problems)?;
     let parse = |text: &str| text.parse::<IpAddr>().ok();
@@ -142,7 +142,7 @@
     let first = ports.number("first", 0, (1, 65_535), problems)?;
     let last = ports.number("last", 65_535, (1, 65_535), problems)?;
     let slot = section.number("slot", 0, (0, 1_000), problems)?;
-    let (peer, http) = (first + slot * PORTS_OF_A_SLOT, first + slot * PORTS_OF_A_SLOT + 1);
+    let (peer, http) = (first + slot * PORTS_PER_SLOT, first + slot * PORTS_PER_SLOT + 1);
     if http > last {
         let message = format!("slot {slot} needs port {http}, and the last one is {last}");
         problems.add(ResultCode::SettingsBadValue, section.line, &section.path_of("slot"), message);
@@ -209,7 +209,7 @@
     Some(Control { voters, seeds: seeds?, data_folder, leader_leases_up_to })
 }
 
-/// Members of the control group by any address of theirs; daemons talk to each other at `seedPeerPort`.
+/// Reads the seeds: each is any address of a member of the control group, whose port is replaced by `seedPeerPort`.
 fn read_seeds(section: &Section<'_>, problems: &mut Problems) -> Option<SeedSettings> {
     let Some(node) = section.optional("seeds") else { return Some(SeedSettings::default()) };
     let port = section.number("seedPeerPort", 0, (1, 65_535), problems)? as u16;
@@ -227,14 +227,14 @@
     let founding = section.flag("founding", problems)?;
     let member = section.flag("member", problems)?;
     let losses =
-        section.number("lossesTolerated", DEFAULT_LOSSES_TOLERATED, (0, MOST_LOSSES_TOLERATED), problems)?;
-    let zone_losses = section.number("zoneLossesTolerated", 0, (0, MOST_ZONE_LOSSES_TOLERATED), problems)?;
+        section.number("lossesTolerated", DEFAULT_LOSSES_TOLERATED, (0, MAX_LOSSES_TOLERATED), problems)?;
+    let zone_losses = section.number("zoneLossesTolerated", 0, (0, MAX_ZONE_LOSSES_TOLERATED), problems)?;
     Some(SeedSettings {
         peers,
         founding,
         member,
         losses_tolerated: losses as usize,
-        bears_zone_loss: zone_losses > 0,
+        tolerates_zone_loss: zone_losses > 0,
     })
 }
 
--- a/crates/daemon/src/settings/reload.rs
+++ b/crates/daemon/src/settings/reload.rs
@@ -1,5 +1,5 @@
-//! Takes what may change while a daemon runs from its settings file: the seeds. A file that can't be used changes
-//! nothing, and is told of.
+//! Reloads the settings that may change while a daemon runs, which are the seeds. An invalid file changes nothing and is
+//! reported in the timeline.
 
 use super::{Problem, Settings};
 use crate::shared::Shared;
@@ -10,27 +10,27 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Time between two looks at the file: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Time between two checks of the file, which may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the file again after SIGHUP, and whenever it has changed, for ever.
-pub async fn run_settings_reader(shared: Arc<Shared>, path: PathBuf) {
-    let mut known = modified(&path);
+/// Reloads the file after SIGHUP and whenever its modification time changes. Runs for the life of the process.
+pub async fn run_settings_reloader(shared: Arc<Shared>, path: PathBuf) {
+    let mut last_modified = modified_at(&path);
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(LOOK_EVERY) => false,
+            () = tokio::time::sleep(CHECK_INTERVAL) => false,
         };
-        let found = modified(&path);
-        if signalled || found != known {
-            known = found;
+        let found = modified_at(&path);
+        if signalled || found != last_modified {
+            last_modified = found;
             reload(&shared, &path);
         }
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
@@ -42,9 +42,9 @@
             shared.timeline.record(subject, "SettingsReloaded", "", None, ResultCode::Ok);
         }
         Err(problems) => {
-            let told: Vec<String> = problems.iter().map(Problem::to_string).collect();
+            let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
             let code = problems.first().map_or(ResultCode::SettingsUnreadable, |problem| problem.code);
-            let message = format!("the settings held stay: {}", told.join("; "));
+            let message = format!("the settings held stay: {}", messages.join("; "));
             shared.timeline.record(subject, "SettingsRefused", &message, None, code);
         }
     }
--- a/crates/daemon/src/settings/section.rs
+++ b/crates/daemon/src/settings/section.rs
@@ -1,4 +1,4 @@
-//! One mapping of a settings file with the line of every value, and the problems that are found in it.
+//! Reads one mapping of a settings file: typed values with their lines, and the problems found in them.
 
 use dockwood_api::ResultCode;
 use dockwood_api::resource::is_valid_name;
@@ -9,21 +9,21 @@
 use std::time::Duration;
 
 const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
-/// Above this a fraction can't be told from a whole number.
-const LARGEST_FRACTION: f64 = 1e15;
+/// Largest number accepted in floating-point notation; `f64` represents whole numbers up to this value exactly.
+const MAX_FRACTIONAL_NUMBER: f64 = 1e15;
 
-/// One fault in a settings file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The numbered code.
+    /// Result code.
     pub code: ResultCode,
     /// The settings file.
     pub file: PathBuf,
-    /// Line, from 1; 0 if the fault has none.
+    /// Line number, starting at 1; 0 if the error has no line.
     pub line: usize,
     /// Path of the field, such as `listen.http`.
     pub field: String,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Problems of one file.
+/// The problems found in one file.
 #[derive(Debug)]
 pub struct Problems {
     file: PathBuf,
@@ -41,30 +41,30 @@
 }
 
 impl Problems {
-    /// None yet.
+    /// Creates an empty list for a file.
     pub fn new(file: &Path) -> Self {
         Problems { file: file.to_path_buf(), found: Vec::new() }
     }
 
-    /// Adds one.
+    /// Adds a problem.
     pub fn add(&mut self, code: ResultCode, line: usize, field: &str, message: impl Into<String>) {
         let field = field.to_string();
         self.found.push(Problem { code, file: self.file.clone(), line, field, message: message.into() });
     }
 
-    /// Whether none was found.
+    /// Returns whether no problem was found.
     pub fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
 
-    /// All, in order of line.
+    /// Returns all problems in order of their lines.
     pub fn into_sorted(mut self) -> Vec<Problem> {
         self.found.sort_by_key(|problem| problem.line);
         self.found
     }
 }
 
-/// A value with its line and path.
+/// A value with its line and field path.
 pub(super) struct Located<T> {
     pub(super) value: T,
     pub(super) line: usize,
@@ -75,7 +75,7 @@
     span.start().map_or(0, Marker::line)
 }
 
-/// One mapping, being read.
+/// A mapping that is being read.
 pub(super) struct Section<'a> {
     pub(super) path: String,
     pub(super) line: usize,
@@ -83,7 +83,7 @@
 }
 
 impl<'a> Section<'a> {
-    /// Takes a mapping and complains of every key that is not `known`.
+    /// Opens a mapping and reports every key that is not in `known`.
     pub(super) fn new(
         node: &'a Node,
         path: &str,
@@ -168,7 +168,7 @@
         )
     }
 
-    /// A share from 0 to 1, in whole hundredths.
+    /// Reads a ratio from 0 to 1 as a percentage, rounded down.
     pub(super) fn percentage(&self, key: &str, default: u64, problems: &mut Problems) -> Option<u64> {
         let Some(node) = self.optional(key) else { return Some(default) };
         let parse = |text: &str| {
@@ -177,35 +177,35 @@
         };
         let expected = "a share from 0 to 1";
         self.parse(key, node, problems, ResultCode::SettingsBadValue, expected, parse)
-            .map(|found| found.value)
+            .map(|parsed| parsed.value)
     }
 
-    /// A factor above 0 and up to `most`, in percent; what is less than a hundredth is left out, which keeps limits.
+    /// Reads a factor above 0 and up to `max` as a percentage. It is rounded down, so that a limit is never exceeded.
     pub(super) fn multiple(
         &self,
         key: &str,
         default_percent: u64,
-        most: f64,
+        max: f64,
         problems: &mut Problems,
     ) -> Option<u64> {
         let Some(node) = self.optional(key) else { return Some(default_percent) };
         let parse = |text: &str| {
-            let factor = text.parse::<f64>().ok().filter(|factor| *factor <= most)?;
+            let factor = text.parse::<f64>().ok().filter(|factor| *factor <= max)?;
             Some((factor * 100.0).floor() as u64).filter(|percent| *percent > 0)
         };
-        let expected = format!("a factor above 0 and up to {most}");
+        let expected = format!("a factor above 0 and up to {max}");
         self.parse(key, node, problems, ResultCode::SettingsBadValue, &expected, parse)
-            .map(|found| found.value)
+            .map(|parsed| parsed.value)
     }
 
     pub(super) fn flag(&self, key: &str, problems: &mut Problems) -> Option<bool> {
         let Some(node) = self.optional(key) else { return Some(false) };
         let parse = |text: &str| text.parse::<bool>().ok();
         self.parse(key, node, problems, ResultCode::SettingsBadValue, "true or false", parse)
-            .map(|found| found.value)
+            .map(|parsed| parsed.value)
     }
 
-    /// A whole number; a fraction is rounded down, which keeps limits.
+    /// Reads a whole number. A fraction is rounded down, so that a limit is never exceeded.
     pub(super) fn number(
         &self,
         key: &str,
@@ -214,14 +214,14 @@
         problems: &mut Problems,
     ) -> Option<u64> {
         let Some(node) = self.optional(key) else { return Some(default) };
-        let (least, most) = allowed;
-        let parse = |text: &str| rounded_down(text).filter(|number| (least..=most).contains(number));
-        let expected = format!("a number from {least} to {most}");
+        let (min, max) = allowed;
+        let parse = |text: &str| rounded_down(text).filter(|number| (min..=max).contains(number));
+        let expected = format!("a number from {min} to {max}");
         self.parse(key, node, problems, ResultCode::SettingsBadValue, &expected, parse)
-            .map(|found| found.value)
+            .map(|parsed| parsed.value)
     }
 
-    /// A time in seconds, which may have a fraction; what is less than a millisecond is left out.
+    /// Reads a duration in seconds, which may have a fraction; it is rounded down to milliseconds.
     pub(super) fn seconds(
         &self,
         key: &str,
@@ -230,18 +230,18 @@
         problems: &mut Problems,
     ) -> Option<Duration> {
         let Some(node) = self.optional(key) else { return Some(default) };
-        let (least, most) = allowed;
+        let (min, max) = allowed;
         let parse = |text: &str| {
             let seconds = text.parse::<f64>().ok()?;
-            let is_allowed = (least as f64..=most as f64).contains(&seconds);
+            let is_allowed = (min as f64..=max as f64).contains(&seconds);
             is_allowed.then(|| Duration::from_millis((seconds * MILLISECONDS_PER_SECOND) as u64))
         };
-        let expected = format!("seconds from {least} to {most}");
+        let expected = format!("seconds from {min} to {max}");
         self.parse(key, node, problems, ResultCode::SettingsBadValue, &expected, parse)
-            .map(|found| found.value)
+            .map(|parsed| parsed.value)
     }
 
-    /// The items of a list, each with its path.
+    /// Returns the items of a list with their field paths.
     pub(super) fn items(
         &self,
         key: &str,
@@ -257,8 +257,9 @@
     }
 }
 
-/// A number that is not negative, without its fraction.
+/// Parses a non-negative number and rounds it down.
 fn rounded_down(text: &str) -> Option<u64> {
-    let fraction = || text.parse::<f64>().ok().filter(|number| (0.0..=LARGEST_FRACTION).contains(number));
+    let fraction =
+        || text.parse::<f64>().ok().filter(|number| (0.0..=MAX_FRACTIONAL_NUMBER).contains(number));
     text.parse::<u64>().ok().or_else(|| fraction().map(|number| number as u64))
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads of the daemon share.
+//! State shared by all threads of the daemon.
 
 use crate::clock::monotonic_ms;
 use crate::control::ControlHandle;
@@ -7,6 +7,7 @@
 use crate::known_leader::KnownLeader;
 use crate::lock::lock;
 use crate::metrics::Metrics;
+use crate::pause_detector::PauseDetector;
 use crate::peer::PeerClients;
 use crate::published::Published;
 use crate::pushback::Pushback;
@@ -14,7 +15,6 @@
 use crate::settings::Settings;
 use crate::suspects::{Suspects, count_suspects};
 use crate::timeline::Timeline;
-use crate::wakefulness::Wakefulness;
 use crate::watch_hub::WatchHub;
 use arc_swap::ArcSwap;
 use dockwood_api::peer::DaemonRecord;
@@ -28,59 +28,59 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{Notify, watch};
 
-/// Daemons that are remembered because they asked for a lease: any of them may know the leader.
-const ASKERS: usize = 32;
-/// Addresses in an entry answer, at most.
-const ENTRY_ADDRESSES: usize = 4;
+/// Maximum number of remembered daemons that requested a lease here; any of them may know the leader.
+const MAX_LEASE_REQUESTERS: usize = 32;
+/// Maximum number of addresses in an entry answer.
+const MAX_ENTRY_ADDRESSES: usize = 4;
 
-/// State shared by all threads.
+/// State shared by all threads of the daemon.
 pub struct Shared {
-    /// Settings.
+    /// Settings of the daemon.
     pub settings: Settings,
-    /// Distinguishes restarts of this daemon: its start, in milliseconds since the Unix epoch.
+    /// Identifies this run of the daemon: its start time, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
-    /// Time line.
+    /// Timeline of the daemon.
     pub timeline: Timeline,
-    /// Retained changes.
+    /// Recent changes, for watches.
     pub watch_hub: WatchHub,
-    /// Clients of other daemons.
+    /// Clients for calls to other daemons.
     pub peers: PeerClients,
-    /// Clients of the other voters, for consensus alone: its connections have a thread of their own.
+    /// Clients for consensus calls to the other voters, whose connections are handled by a separate thread.
     pub voter_peers: PeerClients,
-    /// Who assigns requests to groups.
+    /// Selects the daemons that assign requests to groups.
     pub dispatchers: Dispatchers,
-    /// The scopes that this daemon dispatches.
+    /// The scopes for which this daemon is the dispatcher.
     pub scope_dispatchers: ScopeDispatchers,
-    /// Requests that may end the servers that run them.
+    /// State on suspected poison requests.
     pub suspects: Suspects,
-    /// Servers that asked for rest, or said that they leave.
+    /// Pushback state of servers.
     pub pushback: Pushback,
-    /// The control leader as it was last heard of.
+    /// The control leader as last known.
     pub known_leader: KnownLeader,
-    /// Messages to the control thread.
+    /// Sends messages to the control thread.
     pub control: ControlHandle,
     published: ArcSwap<Published>,
     publications: watch::Sender<u64>,
     lease_until: AtomicU64,
-    /// When the newest lease was asked for.
-    lease_asked_at: AtomicU64,
-    /// Whether this process runs without a break.
-    pub wakefulness: Wakefulness,
+    /// When the newest granted lease was requested.
+    lease_requested_at: AtomicU64,
+    /// Detects pauses of this process.
+    pub wakefulness: PauseDetector,
     leader_term: watch::Sender<u64>,
     seeds: ArcSwap<Vec<SocketAddr>>,
     control_directory: ControlDirectory,
     hears_control_leader: AtomicBool,
     is_voter: AtomicBool,
-    /// Daemons that lately asked this one for a lease, newest last.
-    askers: Mutex<VecDeque<SocketAddr>>,
+    /// Daemons that recently requested a lease from this one, newest last.
+    lease_requesters: Mutex<VecDeque<SocketAddr>>,
     leaving: AtomicBool,
     leaving_begun: Notify,
     in_flight: AtomicU32,
 }
 
-/// Counts a request in flight for as long as it lives.
+/// Guard that counts a request in flight until it is dropped.
 pub struct InFlight {
     shared: Arc<Shared>,
 }
@@ -93,7 +93,7 @@
 }
 
 impl Shared {
-    /// Shared state at the start of the process.
+    /// Creates the shared state at the start of the process.
     pub fn new(settings: Settings, incarnation: u64, metrics: Metrics, control: ControlHandle) -> Shared {
         Shared {
             timeline: Timeline::new(&settings.name),
@@ -107,12 +107,12 @@
             published: ArcSwap::default(),
             publications: watch::channel(0).0,
             lease_until: AtomicU64::new(0),
-            lease_asked_at: AtomicU64::new(0),
-            wakefulness: Wakefulness::default(),
+            lease_requested_at: AtomicU64::new(0),
+            wakefulness: PauseDetector::default(),
             suspects: Suspects::default(),
             pushback: Pushback::default(),
             known_leader: KnownLeader::default(),
-            askers: Mutex::default(),
+            lease_requesters: Mutex::default(),
             leader_term: watch::channel(0).0,
             seeds: ArcSwap::default(),
             control_directory: ControlDirectory::default(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// This daemon's record.
+    /// Returns the record that describes this daemon to others.
     pub fn record(&self) -> DaemonRecord {
         DaemonRecord {
             name: self.settings.name.clone(),
@@ -141,17 +141,17 @@
         }
     }
 
-    /// The newest published copy.
+    /// Returns the newest published state.
     pub fn published(&self) -> Arc<Published> {
         self.published.load_full()
     }
 
-    /// The newest tables.
+    /// Returns the newest published tables.
     pub fn tables(&self) -> Arc<Tables> {
         self.published.load().tables.clone()
     }
 
-    /// Replaces the published copy. Only the control thread calls this.
+    /// Replaces the published state. Called only by the control thread.
     pub fn publish(&self, next: Published) {
         self.metrics.revision.set(next.tables.revision as i64);
         self.metrics.in_force_revision.set(next.in_force_revision as i64);
@@ -160,12 +160,12 @@
         self.publications.send_modify(|count| *count += 1);
     }
 
-    /// Follows publications.
+    /// Subscribes to publications.
     pub fn watch_publications(&self) -> watch::Receiver<u64> {
         self.publications.subscribe()
     }
 
-    /// Waits until the published copy has reached a revision; false if it has not by `limit`.
+    /// Waits until the published state has reached a revision; returns false after the time limit.
     pub async fn wait_for_revision(&self, revision: u64, limit: std::time::Duration) -> bool {
         let mut publications = self.watch_publications();
         let reached = async {
@@ -178,42 +178,43 @@
         tokio::time::timeout(limit, reached).await.is_ok()
     }
 
-    /// Extends the configuration lease that was asked for at `sent_at`.
+    /// Extends the configuration lease by a grant whose request was sent at `sent_at`.
     pub fn extend_lease(&self, sent_at: Millis) {
         let gateway = self.settings.gateway.as_ref();
         let lease_ms = gateway.and_then(|gateway| gateway.lease_limit_ms()).unwrap_or(LEASE_MS);
         self.lease_until.fetch_max(sent_at + lease_ms.min(LEASE_MS), Ordering::SeqCst);
-        self.lease_asked_at.fetch_max(sent_at, Ordering::SeqCst);
+        self.lease_requested_at.fetch_max(sent_at, Ordering::SeqCst);
     }
 
-    /// Whether the configuration lease holds at this moment. After this process stood still it is asked for anew first: an
-    /// entry that was stopped for less than its lease sent a request on that had come under quarantine meanwhile, in 1 of
-    /// 4 runs of a test that stops it.
+    /// Returns whether the configuration lease is valid at this moment. After a pause of this process, it must be renewed
+    /// first: an entry that was stopped for less than the duration of its lease forwarded a request that had been quarantined
+    /// meanwhile, in 1 of 4 runs of a test that stops it.
     pub fn holds_lease(&self) -> bool {
-        !self.stood_still_since_lease() && monotonic_ms() < self.lease_until.load(Ordering::SeqCst)
+        !self.paused_since_lease() && monotonic_ms() < self.lease_until.load(Ordering::SeqCst)
     }
 
-    /// Whether this process stood still since it asked for the newest lease that it was granted.
-    pub fn stood_still_since_lease(&self) -> bool {
-        let woke_at = self.wakefulness.observe(monotonic_ms());
-        self.lease_asked_at.load(Ordering::SeqCst) < woke_at
+    /// Returns whether this process paused after it requested the newest granted lease.
+    pub fn paused_since_lease(&self) -> bool {
+        let resumed_at = self.wakefulness.observe(monotonic_ms());
+        self.lease_requested_at.load(Ordering::SeqCst) < resumed_at
     }
 
-    /// What is left of the configuration lease, in milliseconds.
+    /// Returns the remaining time of the configuration lease, in milliseconds.
     pub fn lease_left_ms(&self) -> Millis {
         self.lease_until.load(Ordering::SeqCst).saturating_sub(monotonic_ms())
     }
 
-    /// Whether new work may go to a pool now: with a lease, or where the operator chose to serve on without.
+    /// Returns whether new work may be sent to a pool now: if there is a lease, or if the deployment is configured to be
+    /// served without one.
     pub fn may_dispatch(&self, deployment: &str) -> bool {
-        let serves_on = || {
+        let serves_without_lease = || {
             let tables = self.tables();
             tables.deployment(deployment).is_some_and(|spec| spec.isolation == Isolation::ServeLast)
         };
-        self.holds_lease() || serves_on()
+        self.holds_lease() || serves_without_lease()
     }
 
-    /// Where the control group can be asked for: by the settings, and as learnt since.
+    /// Returns the addresses of the control group, from the settings and as learned since.
     pub fn control_addresses(&self) -> Arc<ControlAddresses> {
         let mut known_peers = self.settings.control_peers();
         known_peers.extend(self.seeds.load().iter().copied());
@@ -221,51 +222,51 @@
         self.control_directory.addresses(&self.tables(), &known_peers)
     }
 
-    /// Takes seeds from settings that have changed.
+    /// Replaces the seeds after the settings have changed.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.seeds.store(Arc::new(seeds));
     }
 
-    /// Notes whether this member of the control group knows a leader.
+    /// Sets whether this member of the control group knows a leader.
     pub fn set_hears_control_leader(&self, hears: bool) {
         self.hears_control_leader.store(hears, Ordering::SeqCst);
     }
 
-    /// Whether this member of the control group knows a leader.
+    /// Returns whether this member of the control group knows a leader.
     pub fn hears_control_leader(&self) -> bool {
         self.hears_control_leader.load(Ordering::SeqCst)
     }
 
-    /// Notes whether this daemon is one of the voters.
+    /// Sets whether this daemon is a voter.
     pub fn set_is_voter(&self, is_voter: bool) {
         self.is_voter.store(is_voter, Ordering::SeqCst);
     }
 
-    /// Remembers a daemon that asked for a lease.
+    /// Records a daemon that requested a lease.
     pub fn note_asker(&self, peer: SocketAddr) {
-        let mut askers = lock(&self.askers);
-        askers.retain(|known| *known != peer);
-        askers.push_back(peer);
-        if askers.len() > ASKERS {
-            askers.pop_front();
+        let mut lease_requesters = lock(&self.lease_requesters);
+        lease_requesters.retain(|known| *known != peer);
+        lease_requesters.push_back(peer);
+        if lease_requesters.len() > MAX_LEASE_REQUESTERS {
+            lease_requesters.pop_front();
         }
     }
 
-    /// A daemon that asked for a lease, another one each time.
+    /// Returns a daemon that requested a lease, rotating through all recorded ones.
     pub fn next_asker(&self) -> Option<SocketAddr> {
-        let mut askers = lock(&self.askers);
-        let asker = askers.pop_front()?;
-        askers.push_back(asker);
-        Some(asker)
+        let mut lease_requesters = lock(&self.lease_requesters);
+        let requester = lease_requesters.pop_front()?;
+        lease_requesters.push_back(requester);
+        Some(requester)
     }
 
-    /// Where the control leader is to be asked for first.
+    /// Returns the target of calls to the control leader.
     pub fn leader(&self) -> Option<SocketAddr> {
         self.known_leader.ask_first()
     }
 
-    /// The leader to name to a daemon that asked this one in vain. A voter names only the one that its group has: while
-    /// it elects another one, the last one is gone.
+    /// Returns the leader that a daemon is referred to if this one can't answer its call. A voter returns `None`, as it refers
+    /// only to the current leader of its group: during an election, the last leader is gone.
     pub fn leader_for_others(&self) -> Option<SocketAddr> {
         if self.is_voter.load(Ordering::SeqCst) {
             return None;
@@ -274,7 +275,7 @@
         leader.filter(|leader| *leader != self.settings.peer)
     }
 
-    /// Notes the term of the leader that granted the lease.
+    /// Sets the term of the leader that granted the lease.
     pub fn set_leader_term(&self, term: u64) {
         self.leader_term.send_if_modified(|known| {
             let changed = *known != term;
@@ -283,40 +284,41 @@
         });
     }
 
-    /// The term of the leader that granted the lease.
+    /// Returns the term of the leader that granted the lease.
     pub fn leader_term(&self) -> u64 {
         *self.leader_term.borrow()
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
         self.leaving_begun.notify_waiters();
     }
 
-    /// Completes when a planned stop begins; not if it has begun before.
+    /// Completes when a graceful shutdown starts; never completes if it has started before the call.
     pub async fn leaving_begun(&self) {
         self.leaving_begun.notified().await;
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a graceful shutdown has started.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Counts a request in.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         self.metrics.in_flight.inc();
         InFlight { shared: self.clone() }
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Addresses of daemons that take new work, best first for this session; never this one if it leaves.
+    /// Returns the addresses of daemons that accept new work, in order of preference for a session; without this daemon if it
+    /// is shutting down.
     pub fn entry_addresses(&self, session: &str, zone: Option<&str>) -> Vec<String> {
         let tables = self.tables();
         let leaving = self.is_leaving();
@@ -329,11 +331,11 @@
                 address: daemon.record.http,
             })
             .collect();
-        let ordered = entry_order(&candidates, session, zone, ENTRY_ADDRESSES);
+        let ordered = entry_order(&candidates, session, zone, MAX_ENTRY_ADDRESSES);
         ordered.iter().map(|candidate| format!("http://{}", candidate.address)).collect()
     }
 
-    /// The peer address of a daemon.
+    /// Returns the peer address of a daemon.
     pub fn peer_address(&self, daemon: &str) -> Option<SocketAddr> {
         self.published.load().tables.daemons.get(daemon).map(|row| row.record.peer)
     }
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line of this daemon: a bounded ring of events, each also a line in the log.
+//! The timeline of this daemon: a ring buffer of events, each of which is also logged.
 
 use crate::clock::wall_ms;
 use crate::lock::lock;
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// Events that are kept.
+/// Maximum number of retained events.
 pub const TIMELINE_CAPACITY: usize = 8_192;
 
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     stamp: ClockStamp,
 }
 
-/// Records changes of state.
+/// Records events in a ring buffer.
 #[derive(Debug)]
 pub struct Timeline {
     process: String,
@@ -27,7 +27,7 @@
 }
 
 impl Timeline {
-    /// An empty time line.
+    /// Creates an empty timeline.
     pub fn new(process: &str) -> Self {
         Timeline { process: process.to_string(), ring: Mutex::default() }
     }
@@ -36,20 +36,20 @@
         lock(&self.ring)
     }
 
-    /// The clock as it stands, for a message to another daemon.
+    /// Advances the clock and returns its stamp, for a message to another daemon.
     pub fn stamp(&self) -> ClockStamp {
         let mut ring = self.ring();
         ring.stamp = ring.stamp.tick(wall_ms());
         ring.stamp
     }
 
-    /// Takes the clock of a message.
+    /// Merges the clock stamp of a received message.
     pub fn observe(&self, other: ClockStamp) {
         let mut ring = self.ring();
         ring.stamp = ring.stamp.merge(other, wall_ms());
     }
 
-    /// Records a change of state.
+    /// Records and logs an event.
     pub fn record(
         &self,
         subject: Subject,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Events with a sequence above `after`.
+    /// Returns the events with a sequence number above `after`.
     pub fn since(&self, after: u64) -> Vec<Event> {
         self.ring().events.iter().filter(|event| event.sequence > after).cloned().collect()
     }
--- a/crates/daemon/src/watch_hub.rs
+++ b/crates/daemon/src/watch_hub.rs
@@ -1,21 +1,21 @@
-//! What changed at which revision, for watches.
+//! Recent changes by revision, for watches.
 
 use crate::lock::lock;
 use dockwood_api::resource::ResourceKey;
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Mutex;
 
-/// Revisions that a watch may start from.
+/// Number of retained revisions, from which a watch may start.
 pub const RETAINED_REVISIONS: usize = 8_192;
 
 #[derive(Debug, Default)]
 struct Changes {
-    /// Everything at or below this revision is forgotten.
+    /// The newest revision whose changes are no longer retained.
     floor: u64,
     rows: VecDeque<(u64, Vec<ResourceKey>)>,
 }
 
-/// Retained changes of this daemon's copy.
+/// Retained changes of this daemon's copy of the state.
 #[derive(Debug, Default)]
 pub struct WatchHub {
     changes: Mutex<Changes>,
@@ -26,7 +26,7 @@
         lock(&self.changes)
     }
 
-    /// Notes what a revision touched.
+    /// Records the resources that a revision changed.
     pub fn push(&self, revision: u64, touched: Vec<ResourceKey>) {
         let mut changes = self.changes();
         changes.rows.push_back((revision, touched));
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Forgets all: the copy was replaced as a whole at this revision.
+    /// Discards all changes, because the whole state was replaced at this revision.
     pub fn reset(&self, revision: u64) {
         *self.changes() = Changes { floor: revision, rows: VecDeque::new() };
     }
 
-    /// Keys touched after `after` and up to `until`; `None` if that is no longer known.
+    /// Returns the keys changed after revision `after`, up to `until`; `None` if these revisions are no longer retained.
     pub fn touched(&self, after: u64, until: u64) -> Option<BTreeSet<ResourceKey>> {
         let changes = self.changes();
         if after < changes.floor {
