--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -162,7 +162,7 @@
         reply: oneshot::Sender<ReadAnswer>,
     },
     /// A lagging daemon requests a snapshot of the state.
-    CopyState {
+    FetchSnapshot {
         /// Receives the snapshot; `None` if there is no state yet.
         reply: oneshot::Sender<Option<Vec<u8>>>,
     },
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -373,7 +373,7 @@
     Some(match message {
         ControlMessage::Consensus { messages } => Input::Consensus(decode_or_drop(&messages)),
         ControlMessage::Pulse => Input::Pulse,
-        ControlMessage::CopyState { reply } => Input::FetchSnapshot(Reply::Snapshot(reply)),
+        ControlMessage::FetchSnapshot { reply } => Input::FetchSnapshot(Reply::Snapshot(reply)),
         ControlMessage::Lease { request, reply } => Input::Lease(request, Reply::Lease(reply)),
         ControlMessage::Delegate { requests, reply } => Input::Delegate(requests, Reply::Delegation(reply)),
         ControlMessage::Delegated { number, answer } => Input::Delegated { number, answer },
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -180,7 +180,7 @@
 
     async fn fetch_state(self, _: Context) -> Option<Vec<u8>> {
         self.count("fetch_state");
-        self.ask(|reply| ControlMessage::CopyState { reply }).await.flatten()
+        self.ask(|reply| ControlMessage::FetchSnapshot { reply }).await.flatten()
     }
 
     async fn admit_voter(self, _: Context, id: u64, address: SocketAddr, zone: String) -> AdmitAnswer {
