--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -20,7 +20,7 @@
     let mut use_requester = false;
     loop {
         tokio::time::sleep(REQUEST_INTERVAL).await;
-        if shared.hears_control_leader() {
+        if shared.knows_control_leader() {
             continue;
         }
         // Alternates between known members and daemons that requested a lease here: the members may not know the leader
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -310,7 +310,7 @@
             Output::Restored { revision } => self.shared.watch_hub.reset(revision),
             Output::LeaderChanged { leader, leads } => {
                 self.shared.metrics.is_leader.set(i64::from(leads));
-                self.shared.set_hears_control_leader(leader.is_some());
+                self.shared.set_knows_control_leader(leader.is_some());
                 if let Some(leader) = leader {
                     let term = self.node.core().map_or(0, |core| core.term());
                     self.shared.known_leader.elected(monotonic_ms(), leader, term);
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -85,7 +85,7 @@
             let relayed = relay(&self.shared, call).await;
             return relayed.unwrap_or(LeaseAnswer::NotLeader { leader: self.shared.leader_for_others() });
         }
-        if !self.shared.hears_control_leader() {
+        if !self.shared.knows_control_leader() {
             self.shared.note_asker(request.daemon.peer);
         }
         match self.ask(|reply| ControlMessage::Lease { request, reply }).await {
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -71,7 +71,7 @@
     leader_term: watch::Sender<u64>,
     seeds: ArcSwap<Vec<SocketAddr>>,
     control_directory: ControlDirectory,
-    hears_control_leader: AtomicBool,
+    knows_control_leader: AtomicBool,
     is_voter: AtomicBool,
     /// Daemons that recently requested a lease from this one, newest last.
     lease_requesters: Mutex<VecDeque<SocketAddr>>,
@@ -116,7 +116,7 @@
             leader_term: watch::channel(0).0,
             seeds: ArcSwap::default(),
             control_directory: ControlDirectory::default(),
-            hears_control_leader: AtomicBool::new(false),
+            knows_control_leader: AtomicBool::new(false),
             is_voter: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             leaving_begun: Notify::new(),
@@ -228,13 +228,13 @@
     }
 
     /// Sets whether this member of the control group knows a leader.
-    pub fn set_hears_control_leader(&self, hears: bool) {
-        self.hears_control_leader.store(hears, Ordering::SeqCst);
+    pub fn set_knows_control_leader(&self, knows_leader: bool) {
+        self.knows_control_leader.store(knows_leader, Ordering::SeqCst);
     }
 
     /// Returns whether this member of the control group knows a leader.
-    pub fn hears_control_leader(&self) -> bool {
-        self.hears_control_leader.load(Ordering::SeqCst)
+    pub fn knows_control_leader(&self) -> bool {
+        self.knows_control_leader.load(Ordering::SeqCst)
     }
 
     /// Sets whether this daemon is a voter.
