--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -86,7 +86,7 @@
             return relayed.unwrap_or(LeaseAnswer::NotLeader { leader: self.shared.leader_for_others() });
         }
         if !self.shared.knows_control_leader() {
-            self.shared.note_asker(request.daemon.peer);
+            self.shared.record_lease_requester(request.daemon.peer);
         }
         match self.ask(|reply| ControlMessage::Lease { request, reply }).await {
             Some(LeaseAnswer::NotLeader { leader: None }) | None => {
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -243,7 +243,7 @@
     }
 
     /// Records a daemon that requested a lease.
-    pub fn note_asker(&self, peer: SocketAddr) {
+    pub fn record_lease_requester(&self, peer: SocketAddr) {
         let mut lease_requesters = lock(&self.lease_requesters);
         lease_requesters.retain(|known| *known != peer);
         lease_requesters.push_back(peer);
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -72,7 +72,7 @@
 fn daemons_that_asked_for_a_lease_are_remembered_up_to_a_limit() {
     let shared = entry();
     assert_eq!(shared.next_asker(), None);
-    (0..100).for_each(|number| shared.note_asker(member(100 + number)));
+    (0..100).for_each(|number| shared.record_lease_requester(member(100 + number)));
     let askers: BTreeSet<SocketAddr> = (0..200).filter_map(|_| shared.next_asker()).collect();
     assert_eq!(askers.len(), 32);
     assert!(askers.contains(&member(199)), "the most recent daemon is missing");
