--- a/crates/daemon/src/control/admission.rs
+++ b/crates/daemon/src/control/admission.rs
@@ -26,7 +26,8 @@
         // Alternates between known members and daemons that requested a lease here: the members may not know the leader
         // either, while an entry may have found it.
         use_requester = !use_requester;
-        let requester = if use_requester && !targets.has_hint() { shared.next_asker() } else { None };
+        let requester =
+            if use_requester && !targets.has_hint() { shared.next_lease_requester() } else { None };
         let target = requester.unwrap_or_else(|| targets.next(&shared));
         let address = shared.settings.peer;
         let zone = shared.settings.zone.clone();
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -253,7 +253,7 @@
     }
 
     /// Returns a daemon that requested a lease, rotating through all recorded ones.
-    pub fn next_asker(&self) -> Option<SocketAddr> {
+    pub fn next_lease_requester(&self) -> Option<SocketAddr> {
         let mut lease_requesters = lock(&self.lease_requesters);
         let requester = lease_requesters.pop_front()?;
         lease_requesters.push_back(requester);
--- a/crates/daemon/tests/targets.rs
+++ b/crates/daemon/tests/targets.rs
@@ -71,9 +71,9 @@
 #[test]
 fn daemons_that_asked_for_a_lease_are_remembered_up_to_a_limit() {
     let shared = entry();
-    assert_eq!(shared.next_asker(), None);
+    assert_eq!(shared.next_lease_requester(), None);
     (0..100).for_each(|number| shared.record_lease_requester(member(100 + number)));
-    let askers: BTreeSet<SocketAddr> = (0..200).filter_map(|_| shared.next_asker()).collect();
+    let askers: BTreeSet<SocketAddr> = (0..200).filter_map(|_| shared.next_lease_requester()).collect();
     assert_eq!(askers.len(), 32);
     assert!(askers.contains(&member(199)), "the most recent daemon is missing");
 }
