--- a/crates/daemon/src/control/lease_client.rs
+++ b/crates/daemon/src/control/lease_client.rs
@@ -37,7 +37,7 @@
         let answer = tokio::select! {
             answer = request_lease(&shared, target) => answer,
             // The answer to a request from before the pause is outdated.
-            () = shared.wakefulness.resumed() => continue,
+            () = shared.pause_detector.resumed() => continue,
             // The current target may be down, and waiting for it would end in a timeout.
             () = other_leader_known(&shared, &mut leader_changes, target) => continue,
             // The leader must learn of a graceful shutdown at once.
@@ -139,7 +139,7 @@
     let mut held = false;
     loop {
         let holds = shared.holds_lease();
-        if let Some(paused_ms) = shared.wakefulness.take_unreported_pause() {
+        if let Some(paused_ms) = shared.pause_detector.take_unreported_pause() {
             let subject = Subject::new("daemon", &shared.settings.name);
             let message = format!("this process did not run for {paused_ms} ms");
             shared.timeline.record(subject, "StoodStill", &message, None, ResultCode::Ok);
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -67,7 +67,7 @@
     /// When the newest granted lease was requested.
     lease_requested_at: AtomicU64,
     /// Detects pauses of this process.
-    pub wakefulness: PauseDetector,
+    pub pause_detector: PauseDetector,
     leader_term: watch::Sender<u64>,
     seeds: ArcSwap<Vec<SocketAddr>>,
     control_directory: ControlDirectory,
@@ -108,7 +108,7 @@
             publications: watch::channel(0).0,
             lease_until: AtomicU64::new(0),
             lease_requested_at: AtomicU64::new(0),
-            wakefulness: PauseDetector::default(),
+            pause_detector: PauseDetector::default(),
             suspects: Suspects::default(),
             pushback: Pushback::default(),
             known_leader: KnownLeader::default(),
@@ -195,7 +195,7 @@
 
     /// Returns whether this process paused after it requested the newest granted lease.
     pub fn paused_since_lease(&self) -> bool {
-        let resumed_at = self.wakefulness.observe(monotonic_ms());
+        let resumed_at = self.pause_detector.observe(monotonic_ms());
         self.lease_requested_at.load(Ordering::SeqCst) < resumed_at
     }
 
--- a/crates/daemon/tests/one_entry/entry.rs
+++ b/crates/daemon/tests/one_entry/entry.rs
@@ -108,7 +108,7 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             loop {
-                shared.wakefulness.observe(monotonic_ms());
+                shared.pause_detector.observe(monotonic_ms());
                 shared.extend_lease(monotonic_ms());
                 tokio::time::sleep(EVERY).await;
             }
