--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,10 +1,10 @@
 //! `dockwoodd`: the dockwood daemon.
 
 use dockwood_daemon::cli;
-use dockwood_daemon::own_dialect::OwnDialect;
+use dockwood_daemon::own_dialect::NativeDialect;
 use std::process::ExitCode;
 use std::sync::Arc;
 
 fn main() -> ExitCode {
-    cli::execute(&cli::command().get_matches(), Arc::new(OwnDialect))
+    cli::execute(&cli::command().get_matches(), Arc::new(NativeDialect))
 }
--- a/crates/daemon/src/own_dialect.rs
+++ b/crates/daemon/src/own_dialect.rs
@@ -36,7 +36,7 @@
 
 /// The native protocol of dockwood.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnDialect;
+pub struct NativeDialect;
 
 fn read<T: DeserializeOwned>(body: &[u8], code: ResultCode) -> Result<T, ApiError> {
     serde_json::from_slice(body).map_err(|error| ApiError::new(code, error.to_string()))
@@ -46,7 +46,7 @@
     ApiError::new(ResultCode::NoSuchPath, "there is no such path or method")
 }
 
-impl Dialect for OwnDialect {
+impl Dialect for NativeDialect {
     fn headers(&self) -> &HeaderNames {
         &HEADERS
     }
--- a/crates/daemon/tests/one_entry/entry.rs
+++ b/crates/daemon/tests/one_entry/entry.rs
@@ -5,7 +5,7 @@
 use dockwood_daemon::control::ControlHandle;
 use dockwood_daemon::gateway::{Gateway, GatewayListeners};
 use dockwood_daemon::metrics::Metrics;
-use dockwood_daemon::own_dialect::OwnDialect;
+use dockwood_daemon::own_dialect::NativeDialect;
 use dockwood_daemon::published::Published;
 use dockwood_daemon::settings::Settings;
 use dockwood_daemon::shared::Shared;
@@ -96,7 +96,7 @@
             operators: Some(calls),
             ..GatewayListeners::default()
         };
-        Gateway::start(shared.clone(), Arc::new(OwnDialect), listeners)?;
+        Gateway::start(shared.clone(), Arc::new(NativeDialect), listeners)?;
         let entry = Arc::new(Entry { shared, state: Mutex::default(), frontend, operators });
         entry.apply(GatewayCommand::Configure(Arc::new(configuration())));
         Ok(entry)
