--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -36,7 +36,7 @@
         Some(("dockwoodd", matches)) => {
             return dockwood_daemon::cli::execute(
                 matches,
-                std::sync::Arc::new(dockwood_daemon::own_dialect::NativeDialect),
+                std::sync::Arc::new(dockwood_daemon::native_dialect::NativeDialect),
             );
         }
         Some(("dockwood-emulator", matches)) => return dockwood_emulator::cli::execute(matches),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod log_line;
 pub mod logging;
 pub mod metrics;
-pub mod own_dialect;
+pub mod native_dialect;
 pub mod pause_detector;
 pub mod peer;
 pub mod probe;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,7 +1,7 @@
 //! `dockwoodd`: the dockwood daemon.
 
 use dockwood_daemon::cli;
-use dockwood_daemon::own_dialect::NativeDialect;
+use dockwood_daemon::native_dialect::NativeDialect;
 use std::process::ExitCode;
 use std::sync::Arc;
 
--- a/crates/daemon/src/traffic/engine_stream.rs
+++ b/crates/daemon/src/traffic/engine_stream.rs
@@ -1,6 +1,6 @@
 //! Talks to the head of a replica about one request.
 
-use crate::own_dialect::OWN_SIGNALS;
+use crate::native_dialect::OWN_SIGNALS;
 use crate::pushback::{SendPermit, signals_of};
 use bytes::BytesMut;
 use dockwood_api::engine::{
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -4,7 +4,7 @@
 use super::{Traffic, records};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
-use crate::own_dialect::OWN_SIGNALS;
+use crate::native_dialect::OWN_SIGNALS;
 use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::suspects::{Admission, SuspectGate, has_ended};
 use bytes::Bytes;
--- a/crates/daemon/tests/one_entry/entry.rs
+++ b/crates/daemon/tests/one_entry/entry.rs
@@ -5,7 +5,7 @@
 use dockwood_daemon::control::ControlHandle;
 use dockwood_daemon::gateway::{Gateway, GatewayListeners};
 use dockwood_daemon::metrics::Metrics;
-use dockwood_daemon::own_dialect::NativeDialect;
+use dockwood_daemon::native_dialect::NativeDialect;
 use dockwood_daemon::published::Published;
 use dockwood_daemon::settings::Settings;
 use dockwood_daemon::shared::Shared;
