--- a/crates/daemon/src/native_dialect.rs
+++ b/crates/daemon/src/native_dialect.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Headers of pushback signals in the native protocol.
-pub const OWN_SIGNALS: SignalHeaders = SignalHeaders { leaving: HEADER_LEAVING, limit: HEADER_LIMIT };
+pub const NATIVE_SIGNALS: SignalHeaders = SignalHeaders { leaving: HEADER_LEAVING, limit: HEADER_LIMIT };
 const HEADERS: HeaderNames = HeaderNames {
     attempt: "dockwood-attempt",
     deadline_ms: "dockwood-deadline-ms",
@@ -24,7 +24,7 @@
     own_instance: "dockwood-own-instance",
     not_run: HEADER_NOT_RUN,
     rank: "dockwood-rank",
-    signals: OWN_SIGNALS,
+    signals: NATIVE_SIGNALS,
 };
 const READINESS: &str = "/readyz";
 const DIRECTORY: &str = "/v1/entries";
--- a/crates/daemon/src/traffic/engine_stream.rs
+++ b/crates/daemon/src/traffic/engine_stream.rs
@@ -1,6 +1,6 @@
 //! Talks to the head of a replica about one request.
 
-use crate::native_dialect::OWN_SIGNALS;
+use crate::native_dialect::NATIVE_SIGNALS;
 use crate::pushback::{SendPermit, signals_of};
 use bytes::BytesMut;
 use dockwood_api::engine::{
@@ -58,7 +58,10 @@
             Ok(Err(_)) => return Err(OpenFailure::Unclear),
             Ok(Ok(response)) => response,
         };
-        permit.record_response(&signals_of(response.status(), response.headers(), &OWN_SIGNALS), &request.id);
+        permit.record_response(
+            &signals_of(response.status(), response.headers(), &NATIVE_SIGNALS),
+            &request.id,
+        );
         match response.status() {
             _ if response.headers().contains_key(HEADER_NOT_RUN) => Err(OpenFailure::Rejected),
             StatusCode::OK => Ok(EngineStream { response, buffer: BytesMut::new() }),
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -4,7 +4,7 @@
 use super::{Traffic, records};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
-use crate::native_dialect::OWN_SIGNALS;
+use crate::native_dialect::NATIVE_SIGNALS;
 use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::suspects::{Admission, SuspectGate, has_ended};
 use bytes::Bytes;
@@ -304,7 +304,7 @@
     match tokio::time::timeout(HEAD_TIMEOUT, request.send()).await {
         Ok(Ok(response)) => {
             permit.record_response(
-                &signals_of(response.status(), response.headers(), &OWN_SIGNALS),
+                &signals_of(response.status(), response.headers(), &NATIVE_SIGNALS),
                 request_id,
             );
             if response.headers().contains_key(HEADER_NOT_RUN) {
