--- a/crates/daemon/src/own_dialect.rs
+++ b/crates/daemon/src/native_dialect.rs
@@ -1,4 +1,5 @@
-//! dockwood's own protocol for the gateway: headers that begin with `dockwood-`, and the JSON form of the API's types.
+//! The native gateway protocol of dockwood: headers with the prefix `dockwood-`, and the JSON representation of the API
+//! types.
 
 use crate::dialect::{Dialect, DirectoryQuery, EncodedCall, HeaderNames, OperatorCall};
 use crate::pushback::SignalHeaders;
@@ -10,8 +11,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// By which servers ask for something in the project's own protocol.
-pub const OWN_SIGNALS: SignalHeaders = SignalHeaders { leaving: HEADER_LEAVING, limit: HEADER_LIMIT };
+/// Headers of pushback signals in the native protocol.
+pub const NATIVE_SIGNALS: SignalHeaders = SignalHeaders { leaving: HEADER_LEAVING, limit: HEADER_LIMIT };
 const HEADERS: HeaderNames = HeaderNames {
     attempt: "dockwood-attempt",
     deadline_ms: "dockwood-deadline-ms",
@@ -23,7 +24,7 @@
     own_instance: "dockwood-own-instance",
     not_run: HEADER_NOT_RUN,
     rank: "dockwood-rank",
-    signals: OWN_SIGNALS,
+    signals: NATIVE_SIGNALS,
 };
 const READINESS: &str = "/readyz";
 const DIRECTORY: &str = "/v1/entries";
@@ -33,9 +34,9 @@
 const ORDERS: &str = "/group/orders";
 const REPORT: &str = "/group/report";
 
-/// The project's own protocol.
+/// The native protocol of dockwood.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnDialect;
+pub struct NativeDialect;
 
 fn read<T: DeserializeOwned>(body: &[u8], code: ResultCode) -> Result<T, ApiError> {
     serde_json::from_slice(body).map_err(|error| ApiError::new(code, error.to_string()))
@@ -45,7 +46,7 @@
     ApiError::new(ResultCode::NoSuchPath, "there is no such path or method")
 }
 
-impl Dialect for OwnDialect {
+impl Dialect for NativeDialect {
     fn headers(&self) -> &HeaderNames {
         &HEADERS
     }
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -87,8 +87,8 @@
             let relayed = relay(&self.shared, call).await;
             return relayed.unwrap_or(LeaseAnswer::NotLeader { leader: self.shared.leader_for_others() });
         }
-        if !self.shared.hears_control_leader() {
-            self.shared.note_asker(request.daemon.peer);
+        if !self.shared.knows_control_leader() {
+            self.shared.record_lease_requester(request.daemon.peer);
         }
         match self.ask_control(|reply| ControlMessage::Lease { request, reply }).await {
             Some(LeaseAnswer::NotLeader { leader: None }) | None => {
@@ -183,7 +183,7 @@
 
     async fn fetch_state(self, _: Context) -> Option<Vec<u8>> {
         self.count_call("fetch_state");
-        self.ask_control(|reply| ControlMessage::CopyState { reply }).await.flatten()
+        self.ask_control(|reply| ControlMessage::FetchSnapshot { reply }).await.flatten()
     }
 
     async fn admit_voter(self, _: Context, id: u64, address: SocketAddr, zone: String) -> AdmitAnswer {
--- a/crates/daemon/src/traffic/services.rs
+++ b/crates/daemon/src/traffic/services.rs
@@ -4,7 +4,7 @@
 use super::{Traffic, records};
 use crate::clock::monotonic_ms;
 use crate::lock::lock;
-use crate::own_dialect::OWN_SIGNALS;
+use crate::native_dialect::NATIVE_SIGNALS;
 use crate::pushback::{SendPermit, SendPurpose, SendTarget, signals_of};
 use crate::suspects::{Admission, SuspectGate, has_ended};
 use bytes::Bytes;
@@ -307,7 +307,7 @@
     match tokio::time::timeout(RESPONSE_HEAD_TIMEOUT, request.send()).await {
         Ok(Ok(response)) => {
             permit.record_response(
-                &signals_of(response.status(), response.headers(), &OWN_SIGNALS),
+                &signals_of(response.status(), response.headers(), &NATIVE_SIGNALS),
                 request_id,
             );
             if response.headers().contains_key(HEADER_NOT_RUN) {
