--- a/crates/api/src/caller.rs
+++ b/crates/api/src/caller.rs
@@ -1,38 +1,38 @@
-//! What callers see: headers, the entry answer, request outcomes, and chat completions in the OpenAI form.
+//! The API for callers: headers, entry discovery, request outcomes, and OpenAI-compatible chat completions.
 
 use serde::{Deserialize, Serialize};
 
-/// The caller's own request id; a resend under the same key is the same request.
+/// The caller's own request id; a request that is sent again with the same key is the same request.
 pub const HEADER_IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The request id, on every answer.
+/// Response header: the request id. Set on every response.
 pub const HEADER_REQUEST_ID: &str = "dockwood-request-id";
 /// `yes` or `no`: whether the request may be run more than once.
 pub const HEADER_REPEATABLE: &str = "dockwood-repeatable";
-/// Milliseconds the caller will wait, from arrival.
+/// How long the caller waits for the response, in milliseconds from the arrival of the request.
 pub const HEADER_DEADLINE_MS: &str = "dockwood-deadline-ms";
-/// A caller's session; requests of one session prefer one entry and one replica.
+/// The caller's session; requests of one session are preferably routed to the same entry and replica.
 pub const HEADER_SESSION: &str = "dockwood-session";
-/// On a refusal: the outcome, `not-run` or `unknown`.
+/// Response header of a refusal: the outcome, `not-run` or `unknown`.
 pub const HEADER_OUTCOME: &str = "dockwood-outcome";
-/// On an answer: milliseconds that the request waited for a slot.
+/// Response header: how long the request waited for a slot, in milliseconds.
 pub const HEADER_QUEUE_MS: &str = "dockwood-queue-ms";
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// No byte of it has been acted on, and none will be.
+    /// No part of it has been executed or will be.
     NotRun,
-    /// It has been dispatched and has not ended.
+    /// It was dispatched and has not ended.
     Running,
-    /// It ended, and the whole answer exists.
+    /// It ended with a complete response.
     Done,
-    /// It was dispatched, and what became of it can't be established.
+    /// It was dispatched, and its result can't be determined.
     Unknown,
 }
 
 impl Outcome {
-    /// The word used on the wire.
+    /// Returns the outcome as written in headers and JSON.
     pub const fn as_str(self) -> &'static str {
         match self {
             Outcome::NotRun => "not-run",
@@ -43,29 +43,29 @@
     }
 }
 
-/// Answer of `GET /v1/entry`: which addresses to use, best first.
+/// Response to `GET /v1/entry`: addresses to use, best first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EntryAnswer {
-    /// `http://IP:PORT` of daemons that take new work.
+    /// `http://IP:PORT` of daemons that accept new requests.
     pub addresses: Vec<String>,
-    /// How long the answer may be kept.
+    /// How long the response may be cached.
     pub lifetime_seconds: u64,
-    /// The configuration revision that the answer was made from.
+    /// The configuration revision that the response is based on.
     pub revision: u64,
 }
 
-/// Answer of `GET /v1/requests/{id}`.
+/// Response to `GET /v1/requests/{id}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct OutcomeAnswer {
     /// The request id.
     pub id: String,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Result code, once it has ended.
+    /// Result code, once the request has ended.
     pub code: Option<u16>,
-    /// Whether the whole answer is kept and can be fetched from `/v1/requests/{id}/answer`.
+    /// Whether the complete response is stored and can be fetched from `/v1/requests/{id}/answer`.
     pub answer_kept: bool,
 }
 
@@ -78,24 +78,24 @@
     pub content: String,
 }
 
-/// Body of `POST /v1/chat/completions`. Unknown fields are accepted and passed over, since clients of the
-/// OpenAI form send many.
+/// Body of `POST /v1/chat/completions`. Unknown fields are ignored, because clients of OpenAI-compatible APIs
+/// send many.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// Model, or adapter, by resource name.
+    /// Resource name of the model or adapter.
     pub model: String,
     /// The conversation so far.
     pub messages: Vec<ChatMessage>,
-    /// Stream the answer as server-sent events.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// At most this many tokens in the answer.
+    /// Maximum number of tokens in the response.
     #[serde(default, alias = "max_completion_tokens")]
     pub max_tokens: Option<u32>,
 }
 
 impl ChatRequest {
-    /// The conversation as one prompt, role and text by line.
+    /// Returns the conversation as one prompt with a line `role: text` per message.
     pub fn prompt(&self) -> String {
         let mut prompt = String::new();
         for message in &self.messages {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Body of a whole chat completion.
+/// Body of a chat completion that is not streamed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatCompletion {
     /// Request id with the prefix `chatcmpl-`.
@@ -119,18 +119,18 @@
     pub created: u64,
     /// The model of the request.
     pub model: String,
-    /// Always one choice.
+    /// Always exactly one choice.
     pub choices: Vec<ChatChoice>,
     /// Token counts.
     pub usage: ChatUsage,
 }
 
-/// The one choice of a whole completion.
+/// The choice of a completion that is not streamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatChoice {
     /// Always 0.
     pub index: u32,
-    /// The answer.
+    /// The generated message.
     pub message: ChatMessage,
     /// Why generation ended, `stop` or `length`.
     pub finish_reason: String,
@@ -141,7 +141,7 @@
 pub struct ChatUsage {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     pub completion_tokens: u32,
     /// Their sum.
     pub total_tokens: u32,
@@ -158,22 +158,22 @@
     pub created: u64,
     /// The model of the request.
     pub model: String,
-    /// Always one choice.
+    /// Always exactly one choice.
     pub choices: Vec<ChunkChoice>,
 }
 
-/// The one choice of a chunk.
+/// The choice of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkChoice {
     /// Always 0.
     pub index: u32,
-    /// What this chunk adds.
+    /// The part of the message in this chunk.
     pub delta: ChunkDelta,
     /// Set on the last chunk.
     pub finish_reason: Option<String>,
 }
 
-/// What a chunk adds to the answer.
+/// Part of the message in a chunk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkDelta {
     /// `assistant`, on the first chunk.
@@ -184,7 +184,7 @@
     pub content: Option<String>,
 }
 
-/// One model of `GET /v1/models`.
+/// A model in the response to `GET /v1/models`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelEntry {
     /// Name to use in requests.
@@ -195,11 +195,11 @@
     pub owned_by: String,
 }
 
-/// Answer of `GET /v1/models`.
+/// Response to `GET /v1/models`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelList {
     /// `list`.
     pub object: String,
-    /// What the tenant may use.
+    /// Models that the tenant may use.
     pub data: Vec<ModelEntry>,
 }
--- a/crates/api/src/code.rs
+++ b/crates/api/src/code.rs
@@ -1,31 +1,31 @@
-//! Numbered result codes: one number, name, HTTP status and meaning for everything dockwood answers.
+//! Numbered result codes. Each has a number, a name, an HTTP status and a meaning.
 //!
-//! docs/RESULT-CODES.md is checked against this table by a test. Numbers are never reused.
+//! A test checks docs/RESULT-CODES.md against this table. Numbers are never reused.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 macro_rules! result_codes {
     ($($name:ident = $number:literal, $status:literal, $meaning:literal;)*) => {
-        /// A numbered result. The thousands digit names the family: 1 success, 2 refused and not run,
-        /// 3 run but not answered whole, 4 resource API, 5 control, 6 storage, 7 settings.
+        /// A result code. The thousands digit is the family: 1 success, 2 refused and not run,
+        /// 3 run but not answered completely, 4 resource API, 5 control, 6 storage, 7 settings.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         pub enum ResultCode { $(#[doc = $meaning] $name,)* }
 
         impl ResultCode {
-            /// Every code in ascending order of number.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name,)*];
 
-            /// The stable number.
+            /// Returns the number, which never changes.
             pub const fn number(self) -> u16 { match self { $(ResultCode::$name => $number,)* } }
 
-            /// The HTTP status that carries this code.
+            /// Returns the HTTP status of responses with this code.
             pub const fn http_status(self) -> u16 { match self { $(ResultCode::$name => $status,)* } }
 
-            /// One sentence for the table in the docs.
+            /// Returns the meaning, as shown in the table in the docs.
             pub const fn meaning(self) -> &'static str { match self { $(ResultCode::$name => $meaning,)* } }
 
-            /// The code's name as written in answers and docs.
+            /// Returns the name, as used in responses and docs.
             pub const fn name(self) -> &'static str { match self { $(ResultCode::$name => stringify!($name),)* } }
         }
     };
@@ -125,12 +125,12 @@
 }
 
 impl ResultCode {
-    /// The code with this number, if there is one.
+    /// Returns the code with this number, if it exists.
     pub fn from_number(number: u16) -> Option<ResultCode> {
         Self::ALL.iter().copied().find(|code| code.number() == number)
     }
 
-    /// True for codes that promise that the request was not run.
+    /// Whether the code guarantees that the request was not run.
     pub const fn is_not_run(self) -> bool {
         self.number() / 1000 == 2
     }
--- a/crates/api/src/engine.rs
+++ b/crates/api/src/engine.rs
@@ -1,41 +1,43 @@
-//! The protocol of the model engines, as the platform publishes it: orders, health, generation, and what
-//! became of a request. JSON over HTTP; generation streams one JSON object a line.
+//! The protocol of the model engines, as published by the platform: orders, health, generation, and the state
+//! of requests. JSON over HTTP; generation streams one JSON object per line.
 //!
-//! A replica's machines act as one group. The first machine of the group, its *head*, takes requests and
-//! answers for the group.
+//! The machines of a replica form one group. The first machine of the group is its *head*, which accepts
+//! requests and responds on behalf of the group.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Path of [`GroupHealth`] (GET) on every machine.
+/// Path on every machine at which GET returns its [`GroupHealth`].
 pub const PATH_HEALTH: &str = "/engine/health";
-/// Path that takes an [`EngineOrder`] (POST) on every machine.
+/// Path on every machine to which an [`EngineOrder`] is POSTed.
 pub const PATH_ORDERS: &str = "/engine/orders";
-/// Header by which an engine or a plain server says that it did not run a request.
+/// Response header with which an engine or a plain server states that it did not run the request.
 pub const HEADER_NOT_RUN: &str = "dockwood-not-run";
-/// Header by which an engine or a plain server says that it is about to leave: `1`.
+/// Response header with which an engine or a plain server announces its shutdown: `1`.
 pub const HEADER_LEAVING: &str = "dockwood-leaving";
-/// Set by a server to the requests a second that it takes from all senders together, for as long as it says so.
+/// Response header with which a server declares how many requests per second it accepts from all senders
+/// combined. The limit applies for as long as responses carry it.
 pub const HEADER_LIMIT: &str = "dockwood-limit";
-/// Path that takes a [`GenerateRequest`] (POST) on a head and streams [`GenerateEvent`] lines.
+/// Path on a head to which a [`GenerateRequest`] is POSTed; the response streams [`GenerateEvent`] lines.
 pub const PATH_GENERATE: &str = "/engine/generate";
-/// Path prefix of one request on a head: GET its [`RequestState`], POST `bar` to refuse it, DELETE to cancel.
+/// Path prefix of a request on a head: GET returns its [`RequestState`], POST `bar` makes the engine refuse it,
+/// DELETE cancels it.
 pub const PATH_REQUESTS: &str = "/engine/requests";
 
-/// The part of the model that a group runs.
+/// Phase of inference that a group performs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
     /// Prefill and decode in one group.
     #[default]
     Unified,
-    /// Prompt processing only; exports its KV cache.
+    /// Prompt processing only; exports the KV cache.
     Prefill,
-    /// Token generation only; imports a KV cache.
+    /// Token generation only; imports the KV cache.
     Decode,
 }
 
-/// Where one machine of a group listens.
+/// A machine of a group, with its address.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     /// Server resource name.
@@ -44,117 +46,117 @@
     pub address: SocketAddr,
 }
 
-/// What a loaded machine runs.
+/// What a machine loads and runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadPlan {
     /// Replica resource name.
     pub replica: String,
-    /// Epoch of the replica's membership.
+    /// Epoch of the replica, which changes with its members.
     pub epoch: u64,
     /// Model resource name.
     pub model: String,
     /// Model version.
     pub version: String,
-    /// Adapters loaded beside the model.
+    /// Adapters to load in addition to the model.
     pub adapters: Vec<String>,
     /// Size of this machine's share of the weights, in MiB.
     pub weights_mib: u64,
     /// Role of the group.
     pub role: Role,
-    /// The whole group, head first.
+    /// All members of the group, head first.
     pub members: Vec<Member>,
 }
 
-/// What an order asks for.
+/// Action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum OrderAction {
-    /// Load weights and join the group.
+    /// Load the weights and join the group.
     Load(LoadPlan),
-    /// Drop the group and its weights' binding; the machine is free afterwards.
+    /// Leave the group and release its weights; the machine is free afterwards.
     Unload,
 }
 
-/// An identified, fenced order to one machine. A machine that checks fences refuses one below the highest
-/// fence that it has seen.
+/// An order to one machine, with an id and a fencing token. A machine that checks fences rejects orders with
+/// a fence below the highest one that it has seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Identifies the order over repeats.
+    /// Id of the order, the same when it is sent again.
     pub id: String,
-    /// Grows with every order to the same machine.
+    /// Increases with every order to the same machine.
     pub fence: u64,
-    /// What to do.
+    /// What the machine has to do.
     pub action: OrderAction,
 }
 
-/// State of an order on the machine.
+/// Progress of an order on the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderProgress {
-    /// Taken; weights are being fetched.
+    /// Accepted; the weights are being loaded.
     Working,
-    /// Carried out.
+    /// Completed.
     Done,
-    /// Refused: a higher fence was seen.
+    /// Rejected, because the machine has seen a higher fence.
     Fenced,
 }
 
-/// Answer to an [`EngineOrder`].
+/// Response to an [`EngineOrder`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// How far it is.
+    /// Progress of the order.
     pub progress: OrderProgress,
     /// The highest fence that the machine has seen.
     pub highest_fence: u64,
 }
 
-/// What one machine reports of itself, and a head of its group.
+/// Health of a machine and, if it is a head, of its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GroupHealth {
-    /// Replica that the machine is loaded for, if any.
+    /// Replica for which the machine is loaded, if any.
     pub replica: Option<String>,
-    /// Epoch of that replica; 0 when not loaded.
+    /// Epoch of that replica; 0 if not loaded.
     pub epoch: u64,
-    /// Loaded model version; empty when not loaded.
+    /// Loaded model version; empty if not loaded.
     pub version: String,
-    /// True once the weights are in memory.
+    /// Whether the weights are in memory.
     pub loaded: bool,
-    /// Names of the group's members that the head has not heard of within the engine's own time-out.
+    /// Names of members that the head has not heard from within the engine's own timeout.
     pub missing: Vec<String>,
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait within the engine.
+    /// Requests queued in the engine.
     pub waiting: u32,
     /// KV blocks in use.
     pub blocks_used: u32,
-    /// KV blocks in all.
+    /// Total number of KV blocks.
     pub blocks_total: u32,
     /// The highest fence that the machine has seen.
     pub highest_fence: u64,
 }
 
-/// A request to a head.
+/// A generation request to a head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GenerateRequest {
     /// Request id.
     pub id: String,
-    /// The replica that the sender means.
+    /// The replica that the request is intended for.
     pub replica: String,
-    /// The epoch that the sender means; a head that checks refuses another.
+    /// The epoch that the request is intended for; a head that checks fences rejects any other.
     pub epoch: u64,
     /// Prompt text.
     pub prompt: String,
     /// Adapter to run with, if any.
     pub adapter: Option<String>,
-    /// At most this many tokens, counted from sequence 0.
+    /// Maximum number of tokens, counted from sequence number 0.
     pub max_tokens: u32,
-    /// Lower runs first within the engine.
+    /// Priority within the engine; lower values run first.
     pub priority: u8,
-    /// Sequence number of the first token to send; the text before it was generated elsewhere.
+    /// Sequence number of the first token to send; earlier tokens were generated by another replica.
     pub resume_from: u32,
-    /// False for requests that must not be started twice.
+    /// Whether the request may be started more than once.
     pub repeatable: bool,
 }
 
@@ -162,68 +164,68 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum GenerateEvent {
-    /// The request is in the engine; prompt tokens and how many of them were cached.
+    /// The engine has accepted the request.
     Started {
         /// Tokens of the prompt.
         prompt_tokens: u32,
-        /// Of them, found in the prefix cache.
+        /// Prompt tokens found in the prefix cache.
         cached_tokens: u32,
     },
-    /// One token.
+    /// One generated token.
     Token {
-        /// Position in the answer, from 0.
+        /// Position in the response, from 0.
         sequence: u32,
         /// Text to append.
         text: String,
     },
-    /// The answer ended after `tokens` tokens.
+    /// The response is complete.
     Finished {
-        /// Tokens in the whole answer.
+        /// Tokens in the complete response.
         tokens: u32,
     },
-    /// The engine stopped the request, which had produced every sequence below `next_sequence`.
+    /// The engine aborted the request after it had generated all tokens before `next_sequence`.
     Aborted {
-        /// The first sequence that was not produced.
+        /// Sequence number of the first token that was not generated.
         next_sequence: u32,
-        /// For people.
+        /// Human-readable reason.
         reason: String,
     },
 }
 
-/// What an engine knows of a request id.
+/// Phase of a request in an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestPhase {
-    /// Never seen, and not barred.
+    /// Unknown to the engine, and not barred.
     Unseen,
-    /// Never seen, and will be refused.
+    /// Unknown to the engine, which will refuse it.
     Barred,
     /// Queued or generating.
     Running,
-    /// Ended with its whole answer.
+    /// Ended with a complete response.
     Finished,
-    /// Ended early; will produce nothing more.
+    /// Ended early; generates no more tokens.
     Aborted,
 }
 
-/// Answer about a request id.
+/// State of a request in an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct RequestState {
-    /// Where it stands.
+    /// Current phase.
     pub phase: RequestPhase,
-    /// The first sequence that has not been produced.
+    /// Sequence number of the first token that has not been generated.
     pub next_sequence: u32,
 }
 
-/// One row of the platform's lagging list of machines.
+/// An entry of the platform's list of machines, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PlatformMachine {
     /// Server name.
     pub server: String,
-    /// The platform believes that it runs.
+    /// Whether the platform considers the machine to be running.
     pub live: bool,
-    /// The platform means to take it away.
+    /// Whether the platform is going to remove the machine.
     pub leaving: bool,
 }
--- a/crates/api/src/error.rs
+++ b/crates/api/src/error.rs
@@ -1,14 +1,14 @@
-//! The one error type that crosses process borders.
+//! The error type that is sent between processes.
 
 use crate::code::ResultCode;
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// A numbered refusal or failure with a message for people.
+    /// An error with a result code and a human-readable message.
     #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
     pub enum ApiError {
-        /// A code and what led to it.
+        /// A result code with its message.
         Coded(code: ResultCode, message: String) {
             display("{}: {}", code, message)
         }
@@ -16,58 +16,58 @@
 }
 
 impl ApiError {
-    /// Builds an error from a code and a message.
+    /// Creates an error from a code and a message.
     pub fn new(code: ResultCode, message: impl Into<String>) -> Self {
         ApiError::Coded(code, message.into())
     }
 
-    /// The numbered code.
+    /// Returns the result code.
     pub fn code(&self) -> ResultCode {
         let ApiError::Coded(code, _) = self;
         *code
     }
 
-    /// The message for people.
+    /// Returns the human-readable message.
     pub fn message(&self) -> &str {
         let ApiError::Coded(_, message) = self;
         message
     }
 }
 
-/// The JSON body of every refusal, on the resource API and towards callers alike.
+/// JSON body of every error response, both on the resource API and on the API for callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The refusal.
+    /// The error.
     pub error: ErrorDetail,
 }
 
-/// What a refusal says. The fields `type`, `code` and `message` are where OpenAI-style clients look for them.
+/// Details of an error. The fields `type`, `code` and `message` are named as OpenAI-compatible clients expect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ErrorDetail {
-    /// The code's number.
+    /// Number of the result code.
     pub code: u16,
-    /// The code's name.
+    /// Name of the result code.
     #[serde(rename = "type")]
     pub name: String,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
     /// `not-run`, `running`, `done` or `unknown`; absent on the resource API.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<crate::caller::Outcome>,
-    /// Other addresses that take new work, where the caller should go elsewhere.
+    /// Other addresses that accept new requests, if the caller should use them instead.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub addresses: Vec<String>,
-    /// When to come back, in milliseconds.
+    /// When to retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The current resource, where a compare-and-set lost.
+    /// The current resource, if a compare-and-set operation failed because of it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<serde_json::Value>,
 }
 
 impl ErrorBody {
-    /// A body with a code and a message and nothing else.
+    /// Creates a body with a code and a message only.
     pub fn new(error: &ApiError) -> Self {
         ErrorBody {
             error: ErrorDetail {
--- a/crates/api/src/event.rs
+++ b/crates/api/src/event.rs
@@ -1,21 +1,21 @@
-//! Events of the time line: every change of state, with its subject, cause and result code.
+//! Timeline events: state changes with their subject, cause and result code.
 
 use crate::code::ResultCode;
 use serde::{Deserialize, Serialize};
 
-/// A hybrid logical clock stamp: wall clock in milliseconds, then a counter that orders what happened within
+/// Timestamp of a hybrid logical clock: the wall clock in milliseconds, and a counter that orders events within
 /// one millisecond or after a message from a process whose clock is ahead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ClockStamp {
-    /// Milliseconds since the Unix epoch, never less than any stamp seen before.
+    /// Milliseconds since the Unix epoch, never less than in any timestamp seen before.
     pub wall_ms: u64,
-    /// Orders stamps with equal `wall_ms`.
+    /// Orders timestamps with equal `wall_ms`.
     pub logical: u32,
 }
 
 impl ClockStamp {
-    /// The next stamp of a process that last used `self` and whose clock reads `wall_ms`.
+    /// Returns the next timestamp of a process whose last one is `self`, at wall clock time `wall_ms`.
     pub fn tick(self, wall_ms: u64) -> ClockStamp {
         if wall_ms > self.wall_ms {
             ClockStamp { wall_ms, logical: 0 }
@@ -24,13 +24,13 @@
         }
     }
 
-    /// The next stamp after a message that carried `other`.
+    /// Returns the next timestamp after receiving a message with the timestamp `other`.
     pub fn merge(self, other: ClockStamp, wall_ms: u64) -> ClockStamp {
         self.max(other).tick(wall_ms)
     }
 }
 
-/// What an event is about.
+/// Subject of an event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subject {
     /// Lower-case resource kind, such as `replica` or `daemon`.
@@ -40,31 +40,31 @@
 }
 
 impl Subject {
-    /// A subject from its kind and name.
+    /// Creates a subject from its kind and name.
     pub fn new(kind: &str, name: impl Into<String>) -> Self {
         Subject { kind: kind.to_string(), name: name.into() }
     }
 }
 
-/// One change of state as one process saw it.
+/// A state change as recorded by one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Event {
-    /// When, in the order of causes.
+    /// When it was recorded; timestamps order events by causality.
     pub stamp: ClockStamp,
-    /// The daemon that recorded it.
+    /// Name of the daemon that recorded it.
     pub process: String,
-    /// Its number within that daemon, from 1.
+    /// Sequence number within that daemon, from 1.
     pub sequence: u64,
     /// What changed.
     pub subject: Subject,
-    /// What happened, as a short fixed word such as `Formed`.
+    /// What happened, as a fixed identifier such as `Formed`.
     pub reason: String,
-    /// Details for people.
+    /// Human-readable details.
     pub message: String,
-    /// The revision that led to it, where one did.
+    /// The revision that caused it, if any.
     pub cause_revision: Option<u64>,
-    /// The result.
+    /// Result code.
     pub code: ResultCode,
 }
 
@@ -83,8 +83,8 @@
     }
 }
 
-/// Puts events of many daemons in order of their stamps. Changes of the replicated state are recorded by every
-/// voter; of these, the first record stands.
+/// Merges events of several daemons in the order of their timestamps. Changes of the replicated state are
+/// recorded by every voter; only the first record of each is kept.
 pub fn merge(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by(|left, right| (left.stamp, &left.process).cmp(&(right.stamp, &right.process)));
     let mut seen = std::collections::HashSet::new();
--- a/crates/api/src/gateway/configuration.rs
+++ b/crates/api/src/gateway/configuration.rs
@@ -1,19 +1,19 @@
-//! The gateway's configuration: accepted or refused as a whole, ordered by its version.
+//! The gateway configuration, which is accepted or rejected as a whole and ordered by its version.
 
 use serde::{Deserialize, Serialize};
 
-/// How often a request of a route may run.
+/// How often a request on a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     AtMostOnce,
-    /// Answers with a series of events; runs at most once unless it is resumable.
+    /// The response is a stream of events; runs at most once unless the route is resumable.
     Stream,
 }
 
-/// A service with its share of a route's requests.
+/// A service with its share of the requests on a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// Service name.
@@ -22,7 +22,7 @@
     pub weight: u32,
 }
 
-/// Requests of one host below one path prefix.
+/// A route: requests to one host below one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Unique name.
@@ -33,21 +33,21 @@
     pub path_prefix: String,
     /// How often a request may run.
     pub kind: RouteKind,
-    /// Services that take the requests.
+    /// Services among which the requests are distributed.
     pub services: Vec<WeightedService>,
-    /// Longest time that a request is held, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time to the answer, or to the first event, that counts as timely, in milliseconds.
+    /// Target time to the response, or to its first event, in milliseconds.
     pub target_latency_ms: u64,
-    /// Longest pause between events that counts as timely, in milliseconds; 0 if none is declared.
+    /// Target maximum time between two events, in milliseconds; 0 if none is declared.
     pub target_gap_ms: u64,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of servers that one request may be sent to.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Needs no tenant key.
+    /// Whether requests need no tenant key.
     pub anonymous: bool,
-    /// A broken stream may go on at another server.
+    /// Whether a broken stream may be resumed on another server.
     pub resumable: bool,
     /// Regions in which its requests may run; empty for all.
     #[serde(default)]
@@ -55,7 +55,7 @@
 }
 
 impl Route {
-    /// Whether a request of this route may run more than once.
+    /// Whether a request on this route may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -65,93 +65,93 @@
     }
 }
 
-/// A model that groups of an engine service can hold.
+/// A model that groups of an engine service can serve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelProfile {
     /// Model name.
     pub name: String,
-    /// Servers in a group.
+    /// Number of servers in a group.
     pub size: u32,
-    /// Share of the servers that its work needs at the start, from 0 to 1.
+    /// Initial share of the servers that the model needs, from 0 to 1.
     pub share: f64,
-    /// Factor on all step times.
+    /// Factor by which all step times are multiplied.
     pub pace: f64,
-    /// Time to load the weights from the store, in milliseconds.
+    /// Time to load the weights from the weight store, in milliseconds.
     pub load_ms: u64,
-    /// Time to load the weights from the host's memory, in milliseconds.
+    /// Time to load weights that are staged in the host's memory, in milliseconds.
     pub warm_ms: u64,
 }
 
-/// What a service of model engines declares about its engines.
+/// Declared performance figures of an engine service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineProfile {
-    /// Requests that a group works on at once.
+    /// Maximum number of requests that a group processes concurrently.
     pub slots: u32,
-    /// Memory of a group, in tokens.
+    /// KV cache capacity of a group, in tokens.
     pub memory_tokens: u64,
-    /// Time of a step, in milliseconds.
+    /// Base duration of a step, in milliseconds.
     pub step_ms: f64,
-    /// Added to a step for each request that writes, in milliseconds.
+    /// Additional duration of a step for each request that generates tokens, in milliseconds.
     pub per_sequence_ms: f64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens read per second.
     pub read_per_second: f64,
-    /// Tokens of a prompt that are read in one step, at most.
+    /// Maximum number of tokens of a prompt that are read in one step.
     pub chunk: u32,
-    /// Steps in one pass while requests are writing.
+    /// Steps per pass while requests are generating tokens.
     pub stride: u32,
-    /// Loads from the weight store that may begin in a second.
+    /// Maximum number of loads from the weight store that may begin per second.
     pub loads_per_second: f64,
-    /// Loads from the weight store at a time beyond which each takes longer.
+    /// Number of concurrent loads from the weight store beyond which each of them takes longer.
     pub loads_at_once: u32,
-    /// Models that a host keeps staged.
+    /// Number of models that a host keeps staged.
     pub staged_models: u32,
-    /// Models.
+    /// Models that the service can serve.
     pub models: Vec<ModelProfile>,
 }
 
 impl EngineProfile {
-    /// The profile of a model, if the service knows it.
+    /// Returns the profile of a model, if the service declares it.
     pub fn model(&self, name: &str) -> Option<&ModelProfile> {
         self.models.iter().find(|model| model.name == name)
     }
 }
 
-/// What a service declares about servers that are cold: some time after a start, or after anything else that emptied
-/// their caches. They say so themselves, in each report.
+/// Declared limits of a service's cold servers. A server is cold for some time after a start, or after any other
+/// event that emptied its caches, and states this in each of its reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// How long a server is usually cold after a start, in milliseconds.
+    /// Usual duration of the cold phase after a start, in milliseconds.
     pub usual_ms: u64,
-    /// Requests a second that a cold server bears, from all callers together; above 0.
+    /// Requests per second that a cold server can handle, from all callers combined; greater than 0.
     pub requests_per_second: f64,
 }
 
-/// A service: servers that take the same requests.
+/// A service: servers that accept the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceProfile {
     /// Unique name.
     pub name: String,
     /// Path of the health check.
     pub health_path: String,
-    /// Connections that one server takes from all callers together.
+    /// Maximum number of connections that a server accepts from all callers combined.
     pub max_connections: u32,
-    /// Set for services whose servers bear less while they are cold.
+    /// Set for services whose servers can handle fewer requests while they are cold.
     #[serde(default)]
     pub cold_start: Option<ColdStart>,
     /// Set for services of model engines.
     pub engine: Option<EngineProfile>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// Size of a request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Size of a request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for a request head to arrive, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -166,44 +166,45 @@
     }
 }
 
-/// A tenant with its keys.
+/// A tenant and its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantKeys {
     /// Unique name.
     pub name: String,
-    /// Keys; a key belongs to one tenant.
+    /// Keys; each key belongs to one tenant only.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's, if declared.
+    /// Priority that overrides the one of the route, if declared.
     pub priority: Option<u32>,
-    /// Regions in which its requests may run; empty for all. Where the route names regions too, both bind.
+    /// Regions in which its requests may run; empty for all. If the route has allowed regions too, both
+    /// restrictions apply.
     #[serde(default)]
     pub allowed_regions: Vec<String>,
 }
 
-/// One whole configuration.
+/// A complete gateway configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayConfiguration {
-    /// Of two configurations the one with the higher version holds.
+    /// Version; of two configurations, the one with the higher version applies.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<ServiceProfile>,
-    /// Bounds on requests.
+    /// Limits on requests.
     pub limits: RequestLimits,
-    /// Tenants; without any, no request needs a key.
+    /// Tenants; if there are none, requests need no key.
     pub tenants: Vec<TenantKeys>,
-    /// The document as the operator sent it. Kept by members of the control group, empty elsewhere.
+    /// The document as sent by the operator. Stored by members of the control group, empty elsewhere.
     pub document: Vec<u8>,
 }
 
 impl GatewayConfiguration {
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceProfile> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The same configuration without the operator's document, for daemons that don't answer operators.
+    /// Returns the configuration without the operator's document, for daemons that serve no operators.
     pub fn without_document(&self) -> GatewayConfiguration {
         GatewayConfiguration { document: Vec::new(), ..self.clone() }
     }
--- a/crates/api/src/gateway/fingerprint.rs
+++ b/crates/api/src/gateway/fingerprint.rs
@@ -1,36 +1,38 @@
-//! What makes two tries the same request.
+//! Fingerprints, which identify repeated attempts of the same request.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// Bytes of a fingerprint: half of the digest, which leaves collisions out of reach also for a caller that looks for
-/// one, at half the size in tables and logs.
-const BYTES: usize = 16;
+/// Length of a fingerprint in bytes. Half of the SHA-256 digest is enough to make collisions infeasible even for a
+/// caller that searches for one, and takes half the space in tables and logs.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// What a request is recognised by when it comes again.
+/// The parts of a request that identify it when it is sent again.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Name of the tenant, which stays when its key is rotated; `None` on an anonymous route.
+    /// Name of the tenant, which doesn't change when its key is rotated; `None` on an anonymous route.
     pub tenant: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host, as the route names it.
+    /// Host, as written in the route.
     pub host: &'a str,
-    /// Path with query.
+    /// Path including the query.
     pub path: &'a str,
     /// Body.
     pub body: &'a [u8],
 }
 
-/// Digest of a request's identity: the same for each try of it at any daemon, whatever its id, deadline, headers and the
-/// event at which it resumes. No caller can make the fingerprint of another tenant's request.
+/// Digest of a request's identity: the same for all attempts on all daemons, regardless of the request id, the
+/// deadline, the headers and the event from which a stream is resumed. A caller can't produce the fingerprint of
+/// another tenant's request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request. Each part is preceded by its length, so that no two identities run together.
+    /// Computes the fingerprint of a request. Each part is preceded by its length, so that two identities with
+    /// different boundaries between their parts never have the same encoding.
     pub fn of(identity: &RequestIdentity<'_>) -> Fingerprint {
         let mut hasher = Sha256::new();
         hasher.update([u8::from(identity.tenant.is_some())]);
@@ -40,8 +42,8 @@
             hasher.update(part);
         }
         let digest = hasher.finalize();
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&digest[..BYTES]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
         Fingerprint(bytes)
     }
 }
@@ -58,21 +60,21 @@
     }
 }
 
-/// A text is no fingerprint: one has 32 hexadecimal digits.
+/// Error for a text that is not a fingerprint, which consists of 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoFingerprint;
+pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Fingerprint, NoFingerprint> {
-        if text.len() != 2 * BYTES || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
-            return Err(NoFingerprint);
+    fn from_str(text: &str) -> Result<Fingerprint, ParseFingerprintError> {
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
+            return Err(ParseFingerprintError);
         }
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (position, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * position..2 * position + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| NoFingerprint)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseFingerprintError)?;
         }
         Ok(Fingerprint(bytes))
     }
--- a/crates/api/src/gateway/group.rs
+++ b/crates/api/src/gateway/group.rs
@@ -1,66 +1,66 @@
-//! Orders to servers that form groups.
+//! Orders to servers of groups.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an order asks of a server.
+/// Command of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupCommand {
-    /// Load the model as a member of a group.
+    /// Load a model as a member of a group.
     Join {
         /// Model name.
         model: String,
         /// Instance ids, head first.
         members: Vec<String>,
     },
-    /// Load a model's weights into the host's memory, beside whatever the server does.
+    /// Load a model's weights into the host's memory, while the server continues its other work.
     Stage {
         /// Model name.
         model: String,
     },
-    /// To the head: begin to serve.
+    /// To the head: start to serve.
     Open,
-    /// To a member: leave the group, which then stands still.
+    /// To a member: leave the group, which then stops working.
     Leave,
     /// To the head: stop serving.
     Close {
-        /// Cut running requests off instead of finishing them.
+        /// Abort running requests instead of finishing them.
         truncate: bool,
     },
 }
 
-/// One order.
+/// An order to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupOrder {
-    /// Instance that it goes to.
+    /// Id of the target instance.
     pub instance: String,
-    /// Its address.
+    /// Address of the target instance.
     pub address: SocketAddr,
     /// Group name.
     pub group: String,
     /// Group epoch.
     pub epoch: u64,
-    /// Grows with the control leader's term; servers refuse a lower one than they have seen.
+    /// Fencing token, which increases with the control leader's term; servers reject a lower one than they have seen.
     pub fence: u64,
-    /// What it asks for.
+    /// The command.
     pub command: GroupCommand,
 }
 
-/// What came of sending an order.
+/// Result of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It has begun.
+    /// The server has started to execute it.
     Begun,
-    /// It holds already.
+    /// The server is already in the requested state.
     Holds,
-    /// It does not fit the server's state.
+    /// The order conflicts with the state of the server.
     Unfit,
-    /// A higher fence or epoch has been seen there.
+    /// The server has seen a higher fence or epoch.
     Fenced,
-    /// The server is not the one that was meant, or knows no such order.
+    /// The server is not the target instance, or doesn't know this kind of order.
     Refused,
-    /// Nothing listens at the address.
+    /// No process listens at the address.
     Unreachable,
-    /// No answer: it may have been taken, or may be later.
+    /// No response was received: the order may have been accepted, or may still be.
     Silent,
 }
--- a/crates/api/src/gateway/instance.rs
+++ b/crates/api/src/gateway/instance.rs
@@ -1,77 +1,78 @@
-//! Servers that register themselves.
+//! Registrations of servers.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is about to end.
+    /// It is about to shut down.
     Draining,
 }
 
-/// Where a server stands within its group.
+/// State of a server as a member of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MembershipState {
-    /// Weights are being loaded.
+    /// The weights are being loaded.
     Joining,
-    /// Weights are loaded.
+    /// The weights are loaded.
     Ready,
-    /// The group serves.
+    /// The group serves requests.
     Open,
-    /// The group finishes what it has.
+    /// The group finishes its running requests.
     Closing,
-    /// The group has stopped for the loss of a member.
+    /// The group has stopped because it lost a member.
     Broken,
 }
 
-/// A server's own word on its group.
+/// A server's report on its group membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipReport {
     /// Group name.
     pub group: String,
     /// Group epoch.
     pub epoch: u64,
-    /// Its state there.
+    /// Membership state.
     pub state: MembershipState,
 }
 
-/// What a server tells of itself. Each start of a server is another instance, and usually has another id.
+/// A server's report on itself. Each start of a server creates a new instance, usually with a new id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceReport {
-    /// Identifies this start of the server, unless it keeps its id when it starts again.
+    /// Identifies this run of the server process, unless the server keeps its id across restarts.
     pub id: String,
-    /// When its process started, in milliseconds since the Unix epoch by its own clock; `None` if it doesn't tell.
+    /// When its process started, in milliseconds since the Unix epoch by its own clock; `None` if not reported.
     #[serde(default)]
     pub started_ms: Option<u64>,
-    /// Service that it belongs to.
+    /// Service name.
     pub service: String,
-    /// Where it takes requests and orders.
+    /// Address for requests and orders.
     pub address: SocketAddr,
     /// Zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: InstanceState,
-    /// How much longer it is cold, in milliseconds; 0 once it is warm. See [`ColdStart`](super::ColdStart).
+    /// Remaining time for which it is cold, in milliseconds; 0 once it is warm. See
+    /// [`ColdStart`](super::ColdStart).
     #[serde(default)]
     pub cold_ms: u64,
-    /// Grows with each report, so that a late one is known.
+    /// Increases with each report, so that outdated reports are detected.
     pub sequence: u64,
-    /// Fabric domain, for a model server.
+    /// Fabric domain; set for model engines only.
     pub domain: Option<String>,
-    /// Models whose weights its host keeps.
+    /// Models whose weights are staged in the host's memory.
     pub staged: Vec<String>,
-    /// Its group, if it is in one.
+    /// Group membership, if it is a member of a group.
     pub membership: Option<MembershipReport>,
 }
 
 impl InstanceReport {
-    /// Whether it tells nothing but that its server lives still, where `earlier` was told before. How much longer the
-    /// server is cold changes with each report; that it is, or is no more, does not.
+    /// Whether the report contains no news compared with `earlier`, except that the server is still alive. The
+    /// remaining cold time changes with each report and is ignored; a change between cold and warm counts as news.
     pub fn repeats(&self, earlier: &InstanceReport) -> bool {
         let is_as_cold = (self.cold_ms > 0) == (earlier.cold_ms > 0);
         let (sequence, cold_ms) = (earlier.sequence, earlier.cold_ms);
--- a/crates/api/src/gateway/limit.rs
+++ b/crates/api/src/gateway/limit.rs
@@ -1,85 +1,87 @@
-//! Servers that say how many requests a second they take, and what daemons tell each other of them.
+//! Rate limits that servers declare, and the messages with which daemons share and enforce them.
 
 use serde::{Deserialize, Serialize};
 
-/// Rates are counted in thousandths of a request a second: servers name fractions.
-const THOUSANDTHS: f64 = 1_000.0;
+/// Thousandths of a request per second in one request per second. Rates are stored as an integer number of
+/// thousandths, because servers declare fractional rates.
+const THOUSANDTHS_PER_UNIT: f64 = 1_000.0;
 
-/// A rate of requests, in thousandths of a request a second.
+/// A request rate, in thousandths of a request per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate {
     thousandths: u64,
 }
 
 impl RequestRate {
-    /// So many thousandths of a request a second.
+    /// Creates a rate from thousandths of a request per second.
     pub const fn of_thousandths(thousandths: u64) -> RequestRate {
         RequestRate { thousandths }
     }
 
-    /// So many requests a second, rounded down to a thousandth.
+    /// Creates a rate from requests per second, rounded down to a thousandth.
     pub fn of_requests(per_second: f64) -> RequestRate {
-        RequestRate { thousandths: (per_second * THOUSANDTHS).floor() as u64 }
+        RequestRate { thousandths: (per_second * THOUSANDTHS_PER_UNIT).floor() as u64 }
     }
 
-    /// Thousandths of a request a second.
+    /// Returns the rate in thousandths of a request per second.
     pub const fn thousandths(self) -> u64 {
         self.thousandths
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
-        self.thousandths as f64 / THOUSANDTHS
+        self.thousandths as f64 / THOUSANDTHS_PER_UNIT
     }
 }
 
-/// One start of a server. What a server asked for ends with its process.
+/// Identifies one run of a server process. Limits that a server declared end with its process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStart {
-    /// Its id, or its address where it has none.
+    /// Id of the server, or its address if it has no id.
     pub id: String,
-    /// When it started, in milliseconds since the Unix epoch, as it tells itself; `None` if it doesn't.
+    /// When the process started, in milliseconds since the Unix epoch; `None` if not reported.
     pub started_ms: Option<u64>,
 }
 
-/// What a daemon knows of a server's limit.
+/// A server's rate limit, as known to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLimit {
     /// The server.
     pub server: ServerStart,
-    /// The rate that it named last.
+    /// The rate that the server declared last.
     pub rate: RequestRate,
-    /// It has answered without naming one since.
+    /// Whether the server has responded without declaring a limit since.
     pub has_ended: bool,
-    /// How long ago that was heard, in milliseconds. An age, as daemons' clocks differ.
+    /// Time since this was observed, in milliseconds. An age rather than a timestamp, because the clocks of daemons
+    /// differ.
     pub heard_ago_ms: u64,
 }
 
-/// A daemon tells others of servers' limits.
+/// Servers' rate limits, sent by one daemon to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNews {
-    /// What it knows.
+    /// The limits known to the sender.
     pub limits: Vec<ServerLimit>,
-    /// It leads the control group, and tells all daemons itself.
+    /// Whether the sender is the control leader, which sends the limits to all daemons itself.
     pub is_from_leader: bool,
 }
 
-/// An entry asks for leave to send one request to a server that named a limit.
+/// An entry's request for permission to send one request to a server that declared a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRequest {
-    /// The limit as the entry knows it.
+    /// The limit as known to the entry.
     pub limit: ServerLimit,
-    /// The request's rank; the most urgent has 0.
+    /// Priority of the request; 0 is the highest.
     pub rank: u32,
-    /// The daemon that is asked takes the place of one that has not answered: it may be sharing out the same limit still.
+    /// Whether the receiver replaces a daemon that didn't respond, and that may still be allocating the same limit.
     pub in_place_of_another: bool,
 }
 
-/// The answer to a [`TurnRequest`].
+/// Response to a [`TurnRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnReply {
-    /// How long the entry should wait before it asks for this server again, in milliseconds; `None` if it may send now.
+    /// Time before the entry should ask for this server again, in milliseconds; `None` if it may send now.
     pub wait_ms: Option<u64>,
-    /// The limit as the daemon that was asked knows it; `None` if it knows of none any more.
+    /// The limit as known to the responding daemon; `None` if it no longer knows of one.
     pub limit: Option<ServerLimit>,
 }
--- a/crates/api/src/gateway/load.rs
+++ b/crates/api/src/gateway/load.rs
@@ -1,75 +1,77 @@
-//! What entries tell the control leader of their requests, and what they learn of the other entries'.
+//! Load reports from entries to the control leader, and the load of other entries in its responses.
 
 use serde::{Deserialize, Serialize};
 
-/// How many events of running streams came in time, since the last report. The first event of a stream doesn't count.
+/// How many events of running streams arrived in time since the last report. The first event of each stream is
+/// not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventPace {
-    /// Events.
+    /// Number of events.
     pub events: u32,
-    /// Those among them that came within twice the longest pass that reads no prompt, by the declared figures.
+    /// Number of these that arrived within twice the duration of the longest pass without prompt processing,
+    /// according to the declared figures.
     pub timely: u32,
 }
 
 impl EventPace {
-    /// Adds what another report tells of the same group.
+    /// Adds the counts of another report on the same group.
     pub fn add(&mut self, other: EventPace) {
         self.events += other.events;
         self.timely += other.timely;
     }
 }
 
-/// One entry's requests at one group.
+/// Load of one group from one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupLoad {
     /// Group epoch.
     pub epoch: u64,
     /// Requests in flight.
     pub in_flight: u32,
-    /// The group has shown nothing for longer than its declared pace allows.
+    /// Whether the group has shown no progress for longer than its declared pace allows.
     pub silent: bool,
-    /// The head refuses connections.
+    /// Whether the head refuses connections.
     pub refuses: bool,
-    /// The group has shown progress since the last report.
+    /// Whether the group has made progress since the last report.
     pub progressed: bool,
-    /// How many events came in time.
+    /// How many events arrived in time.
     pub pace: EventPace,
-    /// How much longer the entry sends nothing to the head, which asked for a long rest or said that it leaves, in
-    /// milliseconds; 0 if it sends.
+    /// Remaining time for which the entry sends nothing to the head, because the head requested a long back-off or
+    /// announced its shutdown, in milliseconds; 0 if the head is not on hold.
     pub held_for_ms: u64,
 }
 
 impl GroupLoad {
-    /// Whether there is more to tell of the group than that it is held back, which doesn't change from one moment to the
-    /// next.
+    /// Whether the group has load or evidence to report. A hold alone doesn't count, because it rarely changes.
     pub fn is_at_work(&self) -> bool {
         self.in_flight > 0 || self.silent || self.refuses || self.progressed
     }
 }
 
-/// One entry's requests for one model since its last report.
+/// An entry's requests for one model since its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelLoad {
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Requests that arrived, whether or not they got a place; a caller that comes back after a refusal counts again.
+    /// Number of requests that arrived, whether or not they were assigned a place; a retry after a refusal is
+    /// counted again.
     pub arrived: u32,
-    /// Requests that were refused for want of a place.
+    /// Number of requests that were refused because no place was free.
     pub refused: u32,
-    /// Tokens of the prompts of all that arrived.
+    /// Total prompt tokens of the requests that arrived.
     pub prompt_tokens: u64,
-    /// Answers that were complete.
+    /// Number of complete responses.
     pub answered: u32,
-    /// Events of those.
+    /// Number of events in complete responses.
     pub events: u64,
-    /// Times that a request found no place.
+    /// How many times a request found no free place.
     pub found_none: u32,
 }
 
 impl ModelLoad {
-    /// Adds what another report tells of the same model.
+    /// Adds the counts of another report on the same model.
     pub fn add(&mut self, other: &ModelLoad) {
         self.arrived += other.arrived;
         self.refused += other.refused;
@@ -80,86 +82,87 @@
     }
 }
 
-/// The groups of one model whose heads stand in one zone: what one dispatcher assigns requests to in a large fleet.
+/// The groups of one model whose heads are in one zone. In a large fleet, each scope has its own dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DispatchScope {
-    /// Zone of the groups' heads.
+    /// Zone of the heads.
     pub zone: String,
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Model.
+    /// Model name.
     pub model: String,
 }
 
-/// One entry's report; or a dispatcher's, on what all entries told it of its scope.
+/// Report of an entry, or of a dispatcher that summarizes the reports of all entries on its scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Daemon name.
+    /// Name of the reporting daemon.
     pub daemon: String,
-    /// The scope that it is about; `None` for all groups.
+    /// Scope of the report; `None` for all groups.
     pub scope: Option<DispatchScope>,
     /// Groups with requests in flight or with evidence.
     pub groups: Vec<GroupLoad>,
-    /// Models that were asked for.
+    /// Models for which requests arrived.
     pub models: Vec<ModelLoad>,
 }
 
-/// All entries' requests at one group.
+/// Load of one group from all entries, in the response to one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedGroupLoad {
     /// Group epoch.
     pub epoch: u64,
-    /// Requests in flight at other entries than the one that asked.
+    /// Requests in flight from other entries than the receiver.
     pub others_in_flight: u32,
-    /// Another entry, or the control leader, holds the group for silent.
+    /// Whether another entry or the control leader considers the group stalled.
     pub suspected: bool,
-    /// Places that the entry that asked may take beyond its requests in flight, until its next report is answered.
+    /// Places that the receiver may take in addition to its requests in flight, until its next report is answered.
     pub granted: u32,
 }
 
-/// An entry asks for a place at a group for one request.
+/// An entry's request for a place at a group, for one request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceRequest {
-    /// Daemon name of the entry.
+    /// Name of the entry's daemon.
     pub daemon: String,
-    /// Its zone.
+    /// Zone of the entry.
     pub zone: String,
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Zone of the groups that it asks for; `None` for all.
+    /// Zone in which to look for groups; `None` for all.
     pub group_zone: Option<String>,
     /// Zones in which the request may run; `None` for all.
     pub allowed_zones: Option<Vec<String>>,
-    /// When its first event should be expected at the latest, in milliseconds from now; `None` for any time.
+    /// Maximum expected time to the first event, in milliseconds from now; `None` if unlimited.
     pub most_first_event_ms: Option<u64>,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// The group with the fewest requests is the best: the request may end the server that runs it.
+    /// Whether to prefer the group with the fewest requests, because the request may crash the server that runs it.
     pub prefers_idle: bool,
-    /// Epochs of groups that the entry doesn't want: it has tried them, or holds them for silent.
+    /// Epochs of groups to exclude: the entry has tried them, or considers them stalled.
     pub excluded: Vec<u64>,
-    /// Groups whose heads named a limit.
+    /// Groups whose heads declared a limit.
     pub limited: Vec<LimitedGroup>,
 }
 
-/// A group whose head named a limit.
+/// A group whose head declared a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitedGroup {
     /// Group epoch.
     pub epoch: u64,
-    /// Time between two requests that the limit allows, in milliseconds.
+    /// Minimum time between two requests according to the limit, in milliseconds.
     pub interval_ms: u64,
 }
 
 impl PlaceRequest {
-    /// Time between two requests that the head of a group takes, in milliseconds; `None` if it takes what comes.
+    /// Returns the minimum time between two requests to the head of a group, in milliseconds; `None` if it has
+    /// declared no limit.
     pub fn interval_ms(&self, epoch: u64) -> Option<u64> {
         self.limited.iter().find(|group| group.epoch == epoch).map(|group| group.interval_ms)
     }
 
-    /// Whether a group of this zone is asked for and may run the request.
+    /// Whether a group in this zone is requested and may run the request.
     pub fn wants_zone(&self, zone: &str) -> bool {
         let is_asked_for = self.group_zone.as_ref().is_none_or(|asked| asked == zone);
         let is_allowed =
@@ -168,32 +171,32 @@
     }
 }
 
-/// Where a request goes.
+/// Result of a [`PlaceRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceReply {
-    /// To this group.
+    /// The request is assigned to a group.
     Assigned {
         /// Group epoch.
         epoch: u64,
-        /// When its first event is expected, in milliseconds from now.
+        /// Expected time to the first event, in milliseconds from now.
         first_event_ms: u64,
     },
-    /// Every group is full, or would show the first event too late.
+    /// Every group is full, or its first event is expected too late.
     Full,
-    /// The heads of all groups that might take it get as many requests as they said they take.
+    /// The heads of all suitable groups receive as many requests as their limits allow.
     AtLimit {
-        /// When the first of them takes another one, in milliseconds from now.
+        /// Time until the first of them accepts another request, in milliseconds from now.
         free_in_ms: u64,
     },
     /// No group serves the model.
     NoGroup,
 }
 
-/// The answer to a report.
+/// Response to a [`LoadReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// Groups with load or evidence at others.
+    /// Groups with load or evidence from other entries.
     pub groups: Vec<SharedGroupLoad>,
-    /// Entries that reported lately, the asking one among them.
+    /// Number of entries that reported recently, including the receiver.
     pub entries: u32,
 }
--- a/crates/api/src/gateway/mod.rs
+++ b/crates/api/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway's types: one versioned configuration of routes, services and tenants; servers that register
-//! themselves; groups of servers that hold one model; and the load that entries tell the control leader.
+//! Types of the gateway: the versioned configuration of routes, services and tenants; registrations of servers;
+//! groups of servers that serve one model; and load reports from entries to the control leader.
 
 mod configuration;
 mod fingerprint;
@@ -13,7 +13,7 @@
     ColdStart, EngineProfile, GatewayConfiguration, ModelProfile, RequestLimits, Route, RouteKind,
     ServiceProfile, TenantKeys, WeightedService,
 };
-pub use fingerprint::{Fingerprint, NoFingerprint, RequestIdentity};
+pub use fingerprint::{Fingerprint, ParseFingerprintError, RequestIdentity};
 pub use group::{GroupCommand, GroupOrder, OrderAnswer};
 pub use instance::{InstanceReport, InstanceState, MembershipReport, MembershipState};
 pub use limit::{LimitNews, RequestRate, ServerLimit, ServerStart, TurnReply, TurnRequest};
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types shared by every dockwood program: resources, result codes, and the messages that cross a wire.
+//! Types shared by all dockwood programs: resources, result codes, and the messages sent between processes.
 //!
-//! This crate is the lowest layer. It holds data and its validation; it makes no decision, opens no file or
-//! socket and reads no clock. The only behaviour here is encoding, checking and naming.
+//! This crate is the lowest layer. It defines data types with their encoding, validation and names. It makes
+//! no decisions, opens no files or sockets, and reads no clock.
 
 pub mod caller;
 pub mod code;
--- a/crates/api/src/peer/admission.rs
+++ b/crates/api/src/peer/admission.rs
@@ -1,4 +1,4 @@
-//! Messages of admission: slots of a pool, evidence on replicas, and records of requests.
+//! Admission messages: slots of a pool, evidence on replicas, and request records.
 
 use crate::caller::Outcome;
 use crate::code::ResultCode;
@@ -8,119 +8,119 @@
 /// An entry's request for a slot of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcquireRequest {
-    /// Deployment resource name, which names the pool.
+    /// Name of the pool, which is the resource name of its deployment.
     pub pool: String,
     /// Request id.
     pub request_id: String,
-    /// The entry's name, so that its slots are freed when it dies.
+    /// Name of the entry, so that its slots are freed if it fails.
     pub entry: String,
     /// Tenant resource name.
     pub tenant: String,
-    /// Prompt and expected answer tokens, for fair shares.
+    /// Sum of prompt tokens and expected response tokens, for fair sharing.
     pub cost_tokens: u32,
-    /// Digests of the prompt's blocks, first block first.
+    /// Digests of the prompt's blocks, in order.
     pub prefix_blocks: Vec<u64>,
-    /// Milliseconds that the request may wait for a slot.
+    /// Maximum time that the request may wait for a slot, in milliseconds.
     pub wait_ms: u32,
-    /// Replicas to leave out, where the entry saw them fail.
+    /// Replicas to exclude because the entry saw them fail.
     pub avoid: Vec<String>,
 }
 
 /// Permission to send one request to one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Identifies the slot when it is returned.
+    /// Id of the slot, needed to return it.
     pub slot: u64,
     /// Replica resource name.
     pub replica: String,
-    /// Epoch that was evident.
+    /// Epoch for which there was evidence.
     pub epoch: u64,
-    /// The head's engine address.
+    /// Engine address of the head.
     pub head: SocketAddr,
     /// Engine priority, from the tenant's tier.
     pub priority: u8,
-    /// How long the grant may be used, in milliseconds from its receipt; bounded by the evidence window.
+    /// Validity of the grant, in milliseconds from its receipt; limited by the validity of the evidence.
     pub valid_ms: u32,
     /// How long the request waited at the coordinator, in milliseconds.
     pub queued_ms: u32,
 }
 
-/// Why no slot was granted; the request has not been run by this call.
+/// Why no slot was granted. This call has not caused the request to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// A code of the not-run family.
+    /// Result code; one that guarantees that the request was not run.
     pub code: ResultCode,
-    /// When to come back, in milliseconds.
+    /// When to retry, in milliseconds.
     pub retry_after_ms: u32,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
 }
 
-/// Answer to an [`AcquireRequest`].
+/// Response to an [`AcquireRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcquireReply {
-    /// Go ahead.
+    /// A slot was granted.
     Granted(Grant),
-    /// Give up, with the reason for the caller.
+    /// No slot was granted, for a reason to be returned to the caller.
     Refused(Refusal),
     /// This daemon does not coordinate the pool.
     NotCoordinator,
 }
 
-/// An entry hands a slot back.
+/// An entry returns a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotReturn {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// From the grant.
+    /// Slot id from the grant.
     pub slot: u64,
-    /// The replica broke under the request; it gets no more until new evidence arrives.
+    /// Whether the replica failed during the request; it receives no more requests until new evidence arrives.
     pub replica_broken: bool,
 }
 
-/// A watcher's word on one replica.
+/// Evidence of a watcher on the state of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaEvidence {
     /// Replica resource name.
     pub replica: String,
-    /// The pool it belongs to.
+    /// Name of its pool.
     pub pool: String,
-    /// Epoch that the head reports.
+    /// Epoch reported by the head.
     pub epoch: u64,
-    /// Every member is alive and loaded for this epoch.
+    /// Whether every member is alive and loaded for this epoch.
     pub complete: bool,
-    /// Members without a sign of life.
+    /// Members that have not responded.
     pub missing: Vec<String>,
-    /// The receiver's own clock as of its answer to an earlier report, which the watcher had before it looked.
-    /// So the receiver knows, by its own clock, that the evidence is no older than this, however long the report
-    /// was on its way. 0 in the first report, which opens nothing.
+    /// The receiver's own clock from its response to an earlier report, which the watcher received before it
+    /// collected this evidence. By its own clock, the receiver thus knows that the evidence is no older than this,
+    /// however long the report took to arrive. 0 in the first report, which therefore can't cause a grant.
     pub echo_ms: u64,
 }
 
-/// What an entry tells the keepers of a request id.
+/// Record of a request, sent by its entry to the daemons that store it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// Tenant and request id, in one key.
+    /// Key that combines tenant and request id.
     pub key: String,
-    /// Digest of the request's content, so that a reused id is told from a resend.
+    /// Digest of the request's content, to distinguish a request that is sent again from a reused id.
     pub content_digest: u64,
-    /// Where it stands.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The code it ended with.
+    /// Result code, once it has ended.
     pub code: Option<ResultCode>,
-    /// The entry that runs or ran it.
+    /// Name of the entry that processes or processed it.
     pub entry: String,
-    /// The whole answer, once done.
+    /// The complete response, once it is done.
     pub answer: Option<KeptAnswer>,
 }
 
-/// A finished answer.
+/// A stored complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
     pub content_type: String,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
--- a/crates/api/src/peer/codec.rs
+++ b/crates/api/src/peer/codec.rs
@@ -1,4 +1,5 @@
-//! `postcard` as the codec of `tarpc`'s transport: about half the bytes of the codecs that ship with it.
+//! A `postcard` codec for the `tarpc` transport. Its messages have about half the size of those of the codecs that
+//! `tarpc` provides.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -8,10 +9,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio_serde::{Deserializer, Serializer};
 
-/// Largest frame between daemons, in bytes; a snapshot of the design size fits several times over.
+/// Maximum size of a frame between daemons, in bytes: several times the size of a snapshot of the largest planned
+/// fleet.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Bytes that the transport adds to each frame, in front of it.
+/// Size of the length prefix that the transport adds to each frame, in bytes.
 const LENGTH_BYTES: u64 = 4;
 
 static SENT_FRAMES: AtomicU64 = AtomicU64::new(0);
@@ -19,7 +21,7 @@
 static RECEIVED_FRAMES: AtomicU64 = AtomicU64::new(0);
 static RECEIVED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Frames and bytes that this process has exchanged with other daemons, without TCP/IP headers.
+/// Counts of the frames and bytes that this process has exchanged with other daemons, excluding TCP/IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerVolume {
     /// Frames sent.
@@ -33,7 +35,7 @@
 }
 
 impl PeerVolume {
-    /// Counts since the start of the process.
+    /// Returns the counts since the start of the process.
     pub fn now() -> PeerVolume {
         PeerVolume {
             sent_frames: SENT_FRAMES.load(Ordering::Relaxed),
@@ -44,7 +46,7 @@
     }
 }
 
-/// Encodes `Out` and decodes `In`.
+/// Codec that encodes `Out` and decodes `In`.
 pub struct PostcardCodec<In, Out> {
     direction: PhantomData<fn(In) -> Out>,
 }
--- a/crates/api/src/peer/control.rs
+++ b/crates/api/src/peer/control.rs
@@ -1,7 +1,7 @@
-//! Messages of the control plane: leases, configuration deltas, observations and submitted commands.
+//! Control plane messages: leases, configuration deltas, observations and submitted commands.
 //!
-//! Commands and state snapshots travel as encoded bytes, so that this crate needs no knowledge of the state
-//! machine above it.
+//! Commands and state snapshots are sent as encoded bytes, so that this crate doesn't depend on the state
+//! machine.
 
 use crate::code::ResultCode;
 use crate::digest::content_digest;
@@ -9,45 +9,45 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Where a daemon stands and listens.
+/// A daemon's location and addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonRecord {
     /// Unique name.
     pub name: String,
     /// Address for callers and operators (HTTP).
     pub http: SocketAddr,
-    /// Address for other daemons (`tarpc`).
+    /// Peer address, for other daemons (`tarpc`).
     pub peer: SocketAddr,
     /// Zone.
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Where it takes the gateway's callers, if it does.
+    /// Address for callers of the gateway, if it serves them.
     pub frontend: Option<SocketAddr>,
-    /// Where it takes operators and registering servers, if it does.
+    /// Address for operators and for registrations of servers, if it serves them.
     pub operators: Option<SocketAddr>,
 }
 
-/// What a daemon found out about one machine.
+/// State of a machine as observed by a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MachineState {
-    /// It answers.
+    /// The machine responds.
     Alive {
-        /// Epoch that it is loaded for; 0 when free.
+        /// Epoch for which it is loaded; 0 if free.
         epoch: u64,
-        /// Weights are in memory.
+        /// Whether the weights are in memory.
         loaded: bool,
-        /// Digest of the name of the replica that it is loaded for; 0 when free.
+        /// Digest of the name of the replica for which it is loaded; 0 if free.
         replica_digest: u64,
     },
-    /// It refuses connections: the process is gone.
+    /// The machine refuses connections: the process has ended.
     Refusing,
-    /// It does not answer within the probe time-out: paused, cut off or overloaded.
+    /// The machine doesn't respond within the probe timeout: it is suspended, partitioned or overloaded.
     Silent,
 }
 
 impl MachineState {
-    /// An answering machine that is loaded for a replica, or for none.
+    /// Creates the state of a responding machine that is loaded for a replica, or for none.
     pub fn alive(loaded_for: Option<(&str, u64)>) -> MachineState {
         let (replica_digest, epoch) =
             loaded_for.map_or((0, 0), |(replica, epoch)| (content_digest(replica.as_bytes()), epoch));
@@ -55,49 +55,50 @@
     }
 }
 
-/// One finding, as reported to the leader.
+/// An observation reported to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// A prober's word on one machine.
+    /// A prober's observation of a machine.
     Machine {
         /// Server resource name.
         server: String,
-        /// What was found.
+        /// Observed state.
         state: MachineState,
     },
-    /// A coordinator's word that a draining replica has nothing in flight and gets nothing new.
+    /// A coordinator's statement that a draining replica has no requests in flight and receives no new ones.
     ReplicaIdle {
         /// Replica resource name.
         replica: String,
-        /// The epoch that this speaks of.
+        /// Epoch to which the statement applies.
         epoch: u64,
     },
 }
 
-/// A daemon's request for its configuration lease.
+/// A daemon's request for a configuration lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who asks.
+    /// The requesting daemon.
     pub daemon: DaemonRecord,
-    /// Distinguishes restarts of one daemon.
+    /// Distinguishes runs of the same daemon.
     pub incarnation: u64,
-    /// The revision that this daemon has applied; the answer's deltas start after it.
+    /// The revision that the daemon has applied; the deltas in the response start after it.
     pub applied_revision: u64,
-    /// The newest revision that this daemon knows to be in force everywhere.
+    /// The newest revision that the daemon knows to be in force everywhere.
     pub in_force_revision: u64,
-    /// False at voters, which get the commands by the log itself.
+    /// Whether the response should contain commands. False for voters, which receive them through the log.
     pub wants_commands: bool,
-    /// The daemon is stopping and takes no new work.
+    /// Whether the daemon is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// The answer is not to be held until there is news: the daemon has no lease that it may rely on.
+    /// Whether to respond immediately instead of holding the request until there is a notification, because the
+    /// daemon has no valid lease.
     pub at_once: bool,
-    /// Requests in flight at this daemon.
+    /// Number of requests in flight at the daemon.
     pub in_flight: u32,
-    /// The daemon's clock, so that events sort by cause.
+    /// The daemon's clock, so that events are ordered by causality.
     pub stamp: ClockStamp,
 }
 
-/// A command with the revision that it made.
+/// A command with the revision that it produced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisedCommand {
     /// The revision.
@@ -106,169 +107,169 @@
     pub command: Vec<u8>,
 }
 
-/// What a granted lease brings along.
+/// State update that is sent with a granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseContent {
-    /// What the daemon lacks after its `applied_revision`.
+    /// The commands after the daemon's `applied_revision`.
     Commands {
-        /// Commands in the order of their revisions, without those that change nothing for the daemon.
+        /// Commands in the order of their revisions, except those that don't affect the daemon.
         commands: Vec<RevisedCommand>,
-        /// The revision that the daemon has once it has applied them.
+        /// The daemon's revision after applying them.
         through: u64,
     },
-    /// An encoded state, compressed, where the commands are no longer retained.
+    /// The encoded and compressed state, if the commands are no longer retained.
     Snapshot(Vec<u8>),
-    /// The state is to be fetched from another daemon, by [`Peer::fetch_state`](super::Peer::fetch_state).
+    /// The state has to be fetched from another daemon with [`Peer::fetch_state`](super::Peer::fetch_state).
     Fetch {
-        /// Its peer address.
+        /// Peer address of that daemon.
         from: SocketAddr,
     },
 }
 
-/// Answer to a [`LeaseRequest`].
+/// Response to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseAnswer {
-    /// The lease runs for the settings' lease time from the moment the request was sent.
+    /// The lease is granted. It is valid for the lease duration from the time at which the request was sent.
     Granted {
-        /// Leader's term.
+        /// Term of the leader.
         term: u64,
-        /// The leader's peer address, if known to the voter that answers, which may do so in the leader's name.
+        /// The leader's peer address, if known to the responding voter, which may act on behalf of the leader.
         leader: Option<SocketAddr>,
-        /// The voter that the daemon should ask next, by its peer address; `None`: the one that answers.
+        /// Peer address of the voter that the daemon should ask next; `None` for the responding one.
         ask_next: Option<SocketAddr>,
-        /// Newest revision at the voter that answers; the lease counts once the daemon has applied it.
+        /// Newest revision at the responding voter; the lease takes effect once the daemon has applied it.
         revision: u64,
         /// Newest revision that is in force everywhere.
         in_force_revision: u64,
-        /// What the daemon lacks.
+        /// State that the daemon has not applied yet.
         content: LeaseContent,
         /// The leader's clock.
         stamp: ClockStamp,
     },
-    /// Ask there, if known.
+    /// This daemon is not the leader.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
     },
 }
 
-/// A daemon's request for a lease, as reported to the leader by the voter that grants it.
+/// A daemon's lease request, as reported to the leader by the voter that grants the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DelegatedRequest {
     /// Name of the daemon.
     pub daemon: String,
-    /// Its record, where that is not the one in the tables.
+    /// Record of the daemon, if it differs from the one in the tables.
     pub record: Option<DaemonRecord>,
-    /// Distinguishes restarts of one daemon.
+    /// Distinguishes runs of the same daemon.
     pub incarnation: u64,
     /// The revision that the daemon has applied.
     pub applied_revision: u64,
-    /// The daemon is stopping and takes no new work.
+    /// Whether the daemon is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// Requests in flight at the daemon.
+    /// Number of requests in flight at the daemon.
     pub in_flight: u32,
 }
 
-/// Answer to [`DelegatedRequest`]s.
+/// Response to [`DelegatedRequest`]s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DelegationAnswer {
-    /// The leader counts these daemons' leases from now on.
+    /// From now on, the leader takes the leases of these daemons into account.
     Noted {
-        /// Its term.
+        /// Term of the leader.
         term: u64,
-        /// Its newest revision, which each of the leases must cover.
+        /// Newest revision of the leader, which each of the leases must cover.
         revision: u64,
         /// Newest revision that is in force everywhere.
         in_force_revision: u64,
     },
-    /// Ask there, if known.
+    /// This daemon is not the leader.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
     },
 }
 
-/// Answer to a submitted command or a control query.
+/// Response to a submitted command or a registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitReply {
-    /// Committed and applied: the revision it left and the encoded outcome.
+    /// The command was committed and applied.
     Applied {
         /// The revision at which the outcome can be read.
         revision: u64,
-        /// Encoded outcome of the state machine.
+        /// Encoded outcome from the state machine.
         outcome: Vec<u8>,
     },
-    /// Not the leader.
+    /// This daemon is not the leader.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
     },
-    /// Not committed, or not known to be.
+    /// The command was not committed, or it is unknown whether it was.
     Failed {
-        /// Why.
+        /// Result code.
         code: ResultCode,
-        /// For people.
+        /// Human-readable message.
         message: String,
     },
 }
 
-/// Answer to a request for the revision at which a read is current.
+/// Response to a query for the revision at which a read is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadAnswer {
-    /// A daemon that has applied this revision reads nothing older than what was acknowledged.
+    /// A daemon that has applied this revision reads no state older than what has been acknowledged.
     Current {
         /// The revision.
         revision: u64,
     },
-    /// Not the leader.
+    /// This daemon is not the leader.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
     },
 }
 
-/// Answer to a request for the newest configuration as the operator sent it.
+/// Response to a query for the newest configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DocumentAnswer {
-    /// Nothing newer was acknowledged when it was read.
+    /// The newest document that had been acknowledged when it was read.
     Current {
-        /// The document; empty if no configuration was accepted yet.
+        /// The document as sent by the operator; empty if no configuration has been accepted yet.
         document: Vec<u8>,
     },
-    /// Not the leader, or not known at the moment.
+    /// This daemon is not the leader, or doesn't know the newest document at the moment.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
     },
 }
 
-/// A voter of the control group, as sent to a process that asks to become one.
+/// A voter of the control group, as sent to a process that requests to become one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterRecord {
-    /// Its id.
+    /// Id of the voter.
     pub id: u64,
-    /// Its peer address.
+    /// Peer address of the voter.
     pub address: SocketAddr,
 }
 
-/// Answer to a process that asks to become a voter.
+/// Response to a process that requests to become a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdmitAnswer {
-    /// The leader has noted it. The voters as they are, so that the newcomer can talk to them.
+    /// The leader has recorded the request. Contains the current voters, so that the new one can contact them.
     Noted(Vec<VoterRecord>),
-    /// Not the leader.
+    /// This daemon is not the leader.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
     },
 }
 
-/// Answer to a control query: JSON of the leader's own view.
+/// Response to a query for the leader's view, as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlAnswer {
     /// The view.
     View(Vec<u8>),
-    /// Not the leader.
+    /// This daemon is not the leader.
     NotLeader {
         /// The leader's peer address.
         leader: Option<SocketAddr>,
--- a/crates/api/src/peer/mod.rs
+++ b/crates/api/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons: the `tarpc` service, its types and its codec.
+//! Messages between daemons: the `tarpc` service, its message types and its codec.
 
 mod admission;
 mod codec;
--- a/crates/api/src/peer/service.rs
+++ b/crates/api/src/peer/service.rs
@@ -1,4 +1,4 @@
-//! The `tarpc` service that every daemon offers to the others.
+//! The `tarpc` service that every daemon provides to the others.
 
 use super::{
     AcquireReply, AcquireRequest, AdmitAnswer, ControlAnswer, DelegatedRequest, DelegationAnswer,
@@ -11,72 +11,73 @@
 };
 use std::net::SocketAddr;
 
-/// Calls between daemons. Every call is safe to repeat.
+/// Calls between daemons. All calls are idempotent.
 #[tarpc::service]
 pub trait Peer {
-    /// Messages of the consensus group, encoded; one way.
+    /// Delivers encoded messages of the consensus group; one-way.
     async fn consensus(messages: Vec<u8>);
 
-    /// Asks the leader, or a voter in its name, for a configuration lease; the answer may be held until there is news.
+    /// Requests a configuration lease from the leader, or from a voter on its behalf; a long poll that may be held
+    /// until there is a notification.
     async fn lease(request: LeaseRequest) -> LeaseAnswer;
 
-    /// A voter reports to the leader which daemons have asked it for leases.
+    /// Reports to the leader which daemons have requested leases from the calling voter.
     async fn delegate_leases(requests: Vec<DelegatedRequest>) -> DelegationAnswer;
 
-    /// Submits an encoded command to the leader and waits until it is applied there.
+    /// Submits an encoded command to the leader, and responds once the leader has applied it.
     async fn submit(command: Vec<u8>) -> SubmitReply;
 
-    /// Reports findings to the leader of a term; false if this daemon does not lead that term.
+    /// Reports observations to the leader of a term; false if this daemon is not the leader of that term.
     async fn observe(term: u64, observations: Vec<Observation>) -> bool;
 
-    /// Reports a daemon's load to the leader; `None` if this daemon does not lead.
+    /// Reports a daemon's load to the leader; `None` if this daemon is not the leader.
     async fn exchange_load(report: LoadReport) -> Option<LoadDigest>;
 
-    /// Asks the leader for a place at a group; `None` if this daemon does not lead.
+    /// Requests a place at a group from the leader; `None` if this daemon is not the leader.
     async fn assign_place(request: PlaceRequest) -> Option<PlaceReply>;
 
-    /// Notifies a daemon of servers that named a limit, or whose limit has ended.
+    /// Notifies a daemon of servers that declared a limit, or whose limit has ended.
     async fn share_limits(news: LimitNews);
 
-    /// Asks the daemon that shares out a server's limit for leave to send it one request.
+    /// Requests permission to send one request to a server from its limiter, the daemon that allocates its limit.
     async fn take_turn(request: TurnRequest) -> TurnReply;
 
-    /// Servers' reports, taken by another daemon; one answer to each, in their order.
+    /// Forwards reports that the calling daemon received from servers; returns one reply for each, in the same order.
     async fn register(reports: Vec<InstanceReport>) -> Vec<SubmitReply>;
 
-    /// The revision at which a read is current.
+    /// Returns the revision at which a read is current.
     async fn read_revision() -> ReadAnswer;
 
-    /// The newest configuration as the operator sent it, which voters alone keep.
+    /// Returns the newest configuration document as sent by the operator, which only voters store.
     async fn read_document() -> DocumentAnswer;
 
-    /// The state that this daemon holds, encoded and compressed, for a daemon that lags; `None` if it holds none.
+    /// Returns the encoded and compressed state of this daemon, for a daemon that lags behind; `None` if it has none.
     async fn fetch_state() -> Option<Vec<u8>>;
 
-    /// Asks the leader to admit a member of the control group, or to replace one that was at its address.
+    /// Asks the leader to admit a voter to the control group, or to let it replace the one that was at its address.
     async fn admit_voter(id: u64, address: SocketAddr, zone: String) -> AdmitAnswer;
 
-    /// A leader announces itself to a daemon that has not asked it for a lease.
+    /// Announces a new leader to a daemon that has not requested a lease from it.
     async fn leader_elected(leader: SocketAddr, term: u64);
 
-    /// Asks the leader for its view of replicas, daemons and control, as JSON.
+    /// Returns the leader's view of replicas, daemons and the control group, as JSON.
     async fn control_view() -> ControlAnswer;
 
-    /// Asks a coordinator for a slot.
+    /// Requests a slot from a coordinator.
     async fn acquire(request: AcquireRequest) -> AcquireReply;
 
-    /// Hands a slot back.
+    /// Returns a slot to its coordinator.
     async fn release(slot_return: SlotReturn);
 
-    /// A watcher's evidence, to the coordinator of the pool; answers the receiver's clock in milliseconds.
+    /// Reports a watcher's evidence to the coordinator of the pool; returns the coordinator's clock in milliseconds.
     async fn evidence(reports: Vec<ReplicaEvidence>) -> u64;
 
-    /// An entry shows the slots that it holds, as a heartbeat and after a change of coordinator.
+    /// Reports the slots that an entry holds, as a heartbeat and after a change of coordinator.
     async fn held_slots(entry: String, pool: String, slots: Vec<(u64, String)>);
 
-    /// Keeps a request's record; answers the record that was there before, without its answer.
+    /// Stores a request record; returns the previous record, without its stored response.
     async fn record_request(record: RequestRecord) -> Option<RequestRecord>;
 
-    /// Reads a request's record.
+    /// Returns a request record.
     async fn read_request(key: String) -> Option<RequestRecord>;
 }
--- a/crates/api/src/resource/json.rs
+++ b/crates/api/src/resource/json.rs
@@ -1,4 +1,4 @@
-//! The JSON form of resources: `apiVersion`, `kind`, `metadata`, `spec`, `status`.
+//! JSON representation of resources: `apiVersion`, `kind`, `metadata`, `spec` and `status`.
 
 use super::{API_VERSION, Kind, Metadata, Resource, Spec, Status, is_valid_name};
 use crate::{ApiError, ResultCode};
@@ -6,21 +6,21 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A resource as the API writes it and as clients send it.
+/// A resource in requests and responses of the API.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ResourceView {
     /// [`API_VERSION`].
     #[serde(default = "api_version")]
     pub api_version: String,
-    /// The kind's name.
+    /// Kind of the resource.
     pub kind: Kind,
-    /// Name, labels, versions.
+    /// Metadata.
     pub metadata: Metadata,
-    /// The declared part; null for read-only kinds.
+    /// Declared spec; null for read-only kinds.
     #[serde(default)]
     pub spec: Value,
-    /// The reported part; passed over in requests.
+    /// Reported status; ignored in requests.
     #[serde(default)]
     pub status: Status,
 }
@@ -29,7 +29,7 @@
     API_VERSION.to_string()
 }
 
-/// Writes a resource with its status.
+/// Returns the representation of a resource with its status.
 pub fn view_of(resource: &Resource, status: Status) -> ResourceView {
     ResourceView {
         api_version: api_version(),
@@ -52,7 +52,7 @@
     written.unwrap_or(Value::Null)
 }
 
-/// Reads the spec of `kind`. Unknown fields and values out of bounds are refused.
+/// Parses and validates the spec of a resource of this kind. Unknown fields and values out of range are rejected.
 pub fn spec_from_json(kind: Kind, value: Value) -> Result<Spec, ApiError> {
     fn read<T: DeserializeOwned>(value: Value) -> Result<T, ApiError> {
         serde_json::from_value(value)
@@ -74,7 +74,7 @@
     Ok(spec)
 }
 
-/// Reads and checks a whole resource from a request.
+/// Parses and validates the resource in the body of a request.
 pub fn parse_resource(body: &[u8]) -> Result<Resource, ApiError> {
     let view: ResourceView = serde_json::from_slice(body)
         .map_err(|error| ApiError::new(ResultCode::BadResource, error.to_string()))?;
--- a/crates/api/src/resource/mod.rs
+++ b/crates/api/src/resource/mod.rs
@@ -1,4 +1,4 @@
-//! Resources of the API: kinds, metadata, specs and status, and their JSON form.
+//! Resources of the API: kinds, metadata, specs and status, and their JSON representation.
 
 mod json;
 mod spec;
@@ -21,7 +21,7 @@
 /// Path prefix of the resource API.
 pub const API_PREFIX: &str = "/api/v1";
 
-/// Kinds of resource.
+/// Kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
     /// A model and its versions.
@@ -30,9 +30,9 @@
     Adapter,
     /// Replicas of one model version in one role.
     Deployment,
-    /// A paying group of callers.
+    /// A customer whose callers share limits and keys.
     Tenant,
-    /// A machine with a model engine.
+    /// A machine that runs a model engine.
     Server,
     /// A plain service and its servers.
     Service,
@@ -42,12 +42,12 @@
     Daemon,
     /// Read-only: a fenced order to a machine.
     Order,
-    /// Read-only: a change of state as one daemon saw it.
+    /// Read-only: a state change as recorded by one daemon.
     Event,
 }
 
 impl Kind {
-    /// Every kind, writable ones first.
+    /// All kinds, writable ones first.
     pub const ALL: [Kind; 10] = [
         Kind::Model,
         Kind::Adapter,
@@ -61,7 +61,7 @@
         Kind::Event,
     ];
 
-    /// Path segment, plural and in lower case.
+    /// Returns the plural name in lower case, as used in paths.
     pub const fn plural(self) -> &'static str {
         match self {
             Kind::Model => "models",
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The kind as written in a resource.
+    /// Returns the name as written in resources.
     pub const fn name(self) -> &'static str {
         match self {
             Kind::Model => "Model",
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether operators may write it.
+    /// Whether operators may write resources of this kind.
     pub const fn writable(self) -> bool {
         !matches!(self, Kind::Replica | Kind::Daemon | Kind::Order | Kind::Event)
     }
@@ -108,7 +108,7 @@
 impl FromStr for Kind {
     type Err = crate::ApiError;
 
-    /// Takes the kind's name, plural or singular, in any case.
+    /// Accepts the singular or plural name in upper or lower case.
     fn from_str(text: &str) -> Result<Kind, Self::Err> {
         let lower = text.to_lowercase();
         Kind::ALL
@@ -118,17 +118,17 @@
     }
 }
 
-/// Identifies a resource.
+/// Key that identifies a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ResourceKey {
-    /// Its kind.
+    /// Kind of the resource.
     pub kind: Kind,
-    /// Its name, unique within the kind.
+    /// Name of the resource, unique within the kind.
     pub name: String,
 }
 
 impl ResourceKey {
-    /// A key from its parts.
+    /// Creates a key from a kind and a name.
     pub fn new(kind: Kind, name: impl Into<String>) -> Self {
         ResourceKey { kind, name: name.into() }
     }
@@ -140,44 +140,44 @@
     }
 }
 
-/// What every resource carries besides its spec.
+/// Metadata of a resource.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Metadata {
-    /// Unique within the kind: lower-case letters, digits, `-` and `.`.
+    /// Name, unique within the kind: lower-case letters, digits, `-` and `.`.
     pub name: String,
-    /// Free-form labels for selection.
+    /// Arbitrary labels for selection.
     pub labels: BTreeMap<String, String>,
-    /// Set when created; never used again, also not for a resource of the same name.
+    /// Assigned when the resource is created; never reused, not even for a resource with the same name.
     pub uid: String,
-    /// The revision of the last change; 0 in a request means "whatever it is now".
+    /// Revision of the last change; 0 in a request matches any version.
     pub resource_version: u64,
-    /// Grows with every change of the spec.
+    /// Incremented with every change of the spec.
     pub generation: u64,
-    /// Milliseconds since the Unix epoch.
+    /// Time of creation, in milliseconds since the Unix epoch.
     pub created_ms: u64,
 }
 
-/// A desired resource as the replicated state holds it.
+/// A resource as declared by operators and stored in the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resource {
-    /// Name, labels and versions.
+    /// Metadata.
     pub metadata: Metadata,
-    /// What the operator declared.
+    /// Declared spec.
     pub spec: Spec,
 }
 
 impl Resource {
-    /// The resource's key.
+    /// Returns the key of the resource.
     pub fn key(&self) -> ResourceKey {
         ResourceKey::new(self.spec.kind(), self.metadata.name.clone())
     }
 }
 
-/// Longest name of a resource.
+/// Maximum length of a resource name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Whether `name` may name a resource.
+/// Whether `name` is a valid resource name.
 pub fn is_valid_name(name: &str) -> bool {
     let allowed =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'.';
--- a/crates/api/src/resource/spec.rs
+++ b/crates/api/src/resource/spec.rs
@@ -1,5 +1,5 @@
-//! Specs of the kinds that operators write. Bounds are checked by `garde`; references between resources are
-//! checked by the replicated state, which alone sees them all.
+//! Specs of the kinds that operators write. `garde` checks the ranges of values; references between resources
+//! are checked by the replicated state, which is the only place where all resources are known.
 
 use super::Kind;
 use crate::engine::Role;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an operator declares, by kind.
+/// Spec of a resource, by kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Spec {
     /// See [`ModelSpec`].
@@ -25,7 +25,7 @@
 }
 
 impl Spec {
-    /// The kind that this is the spec of.
+    /// Returns the kind of resource that the spec belongs to.
     pub const fn kind(&self) -> Kind {
         match self {
             Spec::Model(_) => Kind::Model,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Checks bounds; each line of the answer names a field and what is wrong with it.
+    /// Validates the ranges of all values. The error lists each invalid field with its problem.
     pub fn check(&self) -> Result<(), String> {
         let report = match self {
             Spec::Model(spec) => spec.validate(),
@@ -55,14 +55,14 @@
     }
 }
 
-/// A model and the versions that may be served.
+/// A model and its versions that may be served.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ModelSpec {
-    /// At least one version.
+    /// Versions; at least one.
     #[garde(length(min = 1, max = 64), dive)]
     pub versions: Vec<ModelVersion>,
-    /// Longest prompt and answer together, in tokens.
+    /// Maximum length of prompt and response combined, in tokens.
     #[garde(range(min = 1, max = 10_000_000))]
     pub context_tokens: u32,
 }
@@ -74,19 +74,19 @@
     /// Name of the version.
     #[garde(length(min = 1, max = 63))]
     pub name: String,
-    /// Size of all weights, in MiB.
+    /// Total size of the weights, in MiB.
     #[garde(range(min = 1, max = 100_000_000))]
     pub weights_mib: u64,
 }
 
-/// An adapter that runs on one version of a model.
+/// An adapter for one version of a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct AdapterSpec {
     /// Model resource name.
     #[garde(length(min = 1, max = 63))]
     pub model: String,
-    /// Version of that model.
+    /// Model version.
     #[garde(length(min = 1, max = 63))]
     pub version: String,
     /// Size in MiB.
@@ -94,14 +94,14 @@
     pub size_mib: u64,
 }
 
-/// What a fleet does when daemons lose the control group.
+/// Behaviour of daemons that can't reach the control group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Isolation {
-    /// Take no new work without a configuration lease.
+    /// Accept no new requests without a configuration lease.
     #[default]
     Refuse,
-    /// Serve on with the last configuration; it may be outdated, and status says so.
+    /// Continue with the last known configuration, which may be outdated; the status shows this.
     ServeLast,
 }
 
@@ -112,10 +112,10 @@
     /// Model resource name.
     #[garde(length(min = 1, max = 63))]
     pub model: String,
-    /// Version to serve.
+    /// Model version to serve.
     #[garde(length(min = 1, max = 63))]
     pub version: String,
-    /// Adapters to load beside the model.
+    /// Adapters to load in addition to the model.
     #[serde(default)]
     #[garde(length(max = 256))]
     pub adapters: Vec<String>,
@@ -123,25 +123,25 @@
     #[serde(default)]
     #[garde(skip)]
     pub role: Role,
-    /// Replicas that should serve.
+    /// Desired number of replicas.
     #[garde(range(max = 16))]
     pub replicas: u32,
-    /// Machines of each replica, all in one fabric domain.
+    /// Number of machines per replica, all in one fabric domain.
     #[garde(range(min = 4, max = 32))]
     pub machines_per_replica: u32,
-    /// Tenants that may use it; empty means all.
+    /// Tenants that may use it; empty for all.
     #[serde(default)]
     #[garde(length(max = 10_000))]
     pub tenants: Vec<String>,
-    /// Requests that one replica runs at once.
+    /// Maximum number of requests that a replica runs concurrently.
     #[serde(default = "default_slots")]
     #[garde(range(min = 1, max = 4096))]
     pub slots_per_replica: u32,
-    /// Requests that may wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     #[serde(default = "default_queue")]
     #[garde(range(max = 1_000_000))]
     pub queue_limit: u32,
-    /// What to do without the control group.
+    /// Behaviour if the control group can't be reached.
     #[serde(default)]
     #[garde(skip)]
     pub isolation: Isolation,
@@ -155,22 +155,22 @@
     2048
 }
 
-/// A paying group of callers.
+/// A customer whose callers share limits and keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct TenantSpec {
-    /// 0 is served first.
+    /// Priority tier; 0 is served first.
     #[garde(range(max = 7))]
     pub tier: u8,
-    /// Share within the tier.
+    /// Weight for sharing capacity within the tier.
     #[serde(default = "default_weight")]
     #[garde(range(min = 1, max = 1000))]
     pub weight: u32,
-    /// Limits over all entries together.
+    /// Limits over all entries combined.
     #[serde(default)]
     #[garde(dive)]
     pub limits: TenantLimits,
-    /// Keys of the callers: plain when written, digests when read.
+    /// Keys of the callers: plain text when written, digests when read.
     #[garde(length(min = 1, max = 100), inner(length(min = 8, max = 200)))]
     pub keys: Vec<String>,
 }
@@ -179,39 +179,39 @@
     1
 }
 
-/// Limits of one tenant; 0 means none.
+/// Limits of a tenant; 0 for unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", deny_unknown_fields, default)]
 pub struct TenantLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[garde(range(max = 1_000_000))]
     pub requests_per_second: u32,
-    /// Prompt and answer tokens a second.
+    /// Prompt and response tokens per second.
     #[garde(range(max = 1_000_000_000))]
     pub tokens_per_second: u32,
-    /// Requests queued or running at once.
+    /// Maximum number of requests that are queued or running at a time.
     #[garde(range(max = 1_000_000))]
     pub concurrency: u32,
 }
 
-/// A machine with a model engine.
+/// A machine that runs a model engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ServerSpec {
     /// Engine address.
     #[garde(skip)]
     pub address: SocketAddr,
-    /// Fabric domain; a replica lies within one.
+    /// Fabric domain; all machines of a replica are in the same one.
     #[garde(length(min = 1, max = 63))]
     pub domain: String,
     /// Zone.
     #[garde(length(min = 1, max = 63))]
     pub zone: String,
-    /// Whether the machine refuses orders below the highest fence that it has seen.
+    /// Whether the machine rejects orders with a fence below the highest one that it has seen.
     #[serde(default = "default_true")]
     #[garde(skip)]
     pub checks_fences: bool,
-    /// Take the machine out of service without cutting a request.
+    /// Whether to take the machine out of service without interrupting requests.
     #[serde(default)]
     #[garde(skip)]
     pub drain: bool,
@@ -221,18 +221,18 @@
     true
 }
 
-/// A plain service, routed to without a coordinator.
+/// A plain service, to which requests are routed without a coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its servers.
+    /// Servers of the service.
     #[garde(length(max = 1000), dive)]
     pub servers: Vec<ServiceServer>,
-    /// Calls that one server runs at once, by each daemon.
+    /// Maximum number of concurrent calls from each daemon to one server.
     #[serde(default = "default_slots")]
     #[garde(range(min = 1, max = 100_000))]
     pub slots_per_server: u32,
-    /// Tenants that may use it; empty means all.
+    /// Tenants that may use it; empty for all.
     #[serde(default)]
     #[garde(length(max = 10_000))]
     pub tenants: Vec<String>,
@@ -251,7 +251,7 @@
     /// Zone.
     #[garde(length(min = 1, max = 63))]
     pub zone: String,
-    /// No new calls; those in flight go on.
+    /// Whether to send no new calls; those in flight continue.
     #[serde(default)]
     #[garde(skip)]
     pub drain: bool,
--- a/crates/api/src/resource/status.rs
+++ b/crates/api/src/resource/status.rs
@@ -1,24 +1,24 @@
-//! Status: what dockwood reports of a resource. Computed when read, never stored.
+//! Status of resources, as reported by dockwood. Computed on every read, never stored.
 
 use serde::{Deserialize, Serialize};
 
-/// One aspect of a resource's state.
+/// A condition: one aspect of the state of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Condition {
     /// The aspect, such as `Serving`.
     #[serde(rename = "type")]
     pub aspect: String,
-    /// Whether it holds.
+    /// Whether the condition is met.
     pub status: bool,
-    /// A short fixed word.
+    /// Reason, as a fixed identifier.
     pub reason: String,
-    /// Details for people.
+    /// Human-readable details.
     pub message: String,
 }
 
 impl Condition {
-    /// A condition from its parts.
+    /// Creates a condition from its parts.
     pub fn new(aspect: &str, status: bool, reason: &str, message: impl Into<String>) -> Self {
         Condition { aspect: aspect.into(), status, reason: reason.into(), message: message.into() }
     }
@@ -28,13 +28,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Status {
-    /// The generation that the rest speaks of.
+    /// The generation of the spec that the status refers to.
     pub observed_generation: u64,
-    /// Every daemon has applied the resource's last change, or holds no lease.
+    /// Whether every daemon has applied the last change of the resource, or holds no lease.
     pub in_force: bool,
-    /// Aspects, in a fixed order.
+    /// Conditions, in a fixed order.
     pub conditions: Vec<Condition>,
-    /// Fields of the kind: replicas serving, members, and the like.
+    /// Fields specific to the kind, such as serving replicas or members.
     #[serde(skip_serializing_if = "serde_json::Value::is_null")]
     pub detail: serde_json::Value,
 }
--- a/crates/api/tests/codes.rs
+++ b/crates/api/tests/codes.rs
@@ -1,10 +1,10 @@
-//! The table of result codes: numbers are unique and ordered, and the docs show the same table.
+//! Table of result codes: numbers and names are unique, numbers are ascending, and the docs match the table.
 
 use dockwood_api::ResultCode;
 use std::collections::BTreeSet;
 
 #[test]
-fn numbers_and_names_are_unique_and_in_order() {
+fn numbers_and_names_are_unique_and_numbers_ascend() {
     let numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     let mut sorted = numbers.clone();
     sorted.sort_unstable();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_docs_show_every_code() {
+fn docs_list_every_code() {
     let docs = include_str!("../../../docs/RESULT-CODES.md");
     let rows: Vec<&str> = docs.lines().filter(|line| line.starts_with("| ") && line.contains('`')).collect();
     let expected: Vec<String> = ResultCode::ALL
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn only_the_second_family_promises_not_run() {
+fn only_codes_of_the_2000_family_guarantee_not_run() {
     assert!(ResultCode::QueueFull.is_not_run());
     assert!(!ResultCode::OutcomeUnknown.is_not_run());
     assert!(!ResultCode::Conflict.is_not_run());
--- a/crates/api/tests/fingerprint.rs
+++ b/crates/api/tests/fingerprint.rs
@@ -1,6 +1,6 @@
-//! What makes two tries the same request, and what does not.
+//! Fingerprints: which parts of a request they depend on, and how they are parsed and formatted.
 
-use dockwood_api::gateway::{Fingerprint, NoFingerprint, RequestIdentity};
+use dockwood_api::gateway::{Fingerprint, ParseFingerprintError, RequestIdentity};
 
 const REQUEST: RequestIdentity<'static> = RequestIdentity {
     tenant: Some("tenant"),
@@ -11,28 +11,28 @@
 };
 
 #[yare::parameterized(
-    another_tenant = { RequestIdentity { tenant: Some("other"), ..REQUEST } },
+    different_tenant = { RequestIdentity { tenant: Some("other"), ..REQUEST } },
     no_tenant = { RequestIdentity { tenant: None, ..REQUEST } },
-    another_method = { RequestIdentity { method: "PUT", ..REQUEST } },
-    another_host = { RequestIdentity { host: "i.example", ..REQUEST } },
-    another_query = { RequestIdentity { path: "/stream/1?part=3", ..REQUEST } },
-    another_body = { RequestIdentity { body: b"another body", ..REQUEST } },
-    an_empty_body = { RequestIdentity { body: b"", ..REQUEST } },
-    parts_that_run_together = { RequestIdentity { path: "/stream/1?part=2a", body: b" body", ..REQUEST } },
+    different_method = { RequestIdentity { method: "PUT", ..REQUEST } },
+    different_host = { RequestIdentity { host: "i.example", ..REQUEST } },
+    different_query = { RequestIdentity { path: "/stream/1?part=3", ..REQUEST } },
+    different_body = { RequestIdentity { body: b"another body", ..REQUEST } },
+    empty_body = { RequestIdentity { body: b"", ..REQUEST } },
+    shifted_boundary_between_parts = { RequestIdentity { path: "/stream/1?part=2a", body: b" body", ..REQUEST } },
 )]
-fn another_request_has_another_fingerprint(other: RequestIdentity<'static>) {
+fn different_requests_have_different_fingerprints(other: RequestIdentity<'static>) {
     assert_ne!(Fingerprint::of(&REQUEST), Fingerprint::of(&other));
 }
 
 #[test]
-fn a_request_without_a_tenant_is_not_one_of_a_tenant_without_a_name() {
-    let nameless = RequestIdentity { tenant: Some(""), ..REQUEST };
+fn anonymous_request_differs_from_request_of_tenant_with_empty_name() {
+    let empty_name = RequestIdentity { tenant: Some(""), ..REQUEST };
     let anonymous = RequestIdentity { tenant: None, ..REQUEST };
-    assert_ne!(Fingerprint::of(&nameless), Fingerprint::of(&anonymous));
+    assert_ne!(Fingerprint::of(&empty_name), Fingerprint::of(&anonymous));
 }
 
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
+fn formatted_fingerprint_can_be_parsed() {
     let fingerprint = Fingerprint::of(&REQUEST);
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     assert_eq!(fingerprint.to_string().len(), 32);
@@ -40,10 +40,10 @@
 
 #[yare::parameterized(
     empty = { "" },
-    short = { "00ff" },
-    no_digits = { "zz000000000000000000000000000000" },
-    no_ascii = { "é00000000000000000000000000000" },
+    too_short = { "00ff" },
+    not_hexadecimal = { "zz000000000000000000000000000000" },
+    not_ascii = { "é00000000000000000000000000000" },
 )]
-fn other_texts_are_no_fingerprints(text: &str) {
-    assert_eq!(text.parse::<Fingerprint>(), Err(NoFingerprint));
+fn invalid_fingerprint_is_rejected(text: &str) {
+    assert_eq!(text.parse::<Fingerprint>(), Err(ParseFingerprintError));
 }
--- a/crates/api/tests/gateway.rs
+++ b/crates/api/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Faults of a gateway configuration.
+//! Validation of gateway configurations, and comparison of instance reports.
 
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{
@@ -25,7 +25,7 @@
     }
 }
 
-fn sound() -> GatewayConfiguration {
+fn valid_configuration() -> GatewayConfiguration {
     let service = ServiceProfile {
         name: "s".to_string(),
         health_path: "/h".to_string(),
@@ -48,28 +48,28 @@
     }
 }
 
-fn codes(configuration: &GatewayConfiguration) -> Vec<ResultCode> {
+fn fault_codes(configuration: &GatewayConfiguration) -> Vec<ResultCode> {
     faults(configuration).iter().map(|fault| fault.code).collect()
 }
 
 #[test]
-fn a_sound_configuration_has_no_fault() {
-    assert_eq!(codes(&sound()), []);
+fn valid_configuration_has_no_faults() {
+    assert_eq!(fault_codes(&valid_configuration()), []);
 }
 
 #[parameterized(
-    no_slash_at_the_start = { |route: &mut Route| route.path_prefix = "b/".to_string(), ResultCode::RouteInvalid },
-    no_slash_at_the_end = { |route: &mut Route| route.path_prefix = "/b".to_string(), ResultCode::RouteInvalid },
-    no_time = { |route: &mut Route| route.timeout_ms = 0, ResultCode::RouteInvalid },
-    no_weight = { |route: &mut Route| route.services[0].weight = 0, ResultCode::RouteInvalid },
-    no_service = { |route: &mut Route| route.services.clear(), ResultCode::RouteInvalid },
+    no_leading_slash = { |route: &mut Route| route.path_prefix = "b/".to_string(), ResultCode::RouteInvalid },
+    no_trailing_slash = { |route: &mut Route| route.path_prefix = "/b".to_string(), ResultCode::RouteInvalid },
+    zero_timeout = { |route: &mut Route| route.timeout_ms = 0, ResultCode::RouteInvalid },
+    zero_weight = { |route: &mut Route| route.services[0].weight = 0, ResultCode::RouteInvalid },
+    no_services = { |route: &mut Route| route.services.clear(), ResultCode::RouteInvalid },
     unknown_service = {
         |route: &mut Route| route.services[0].service = "t".to_string(), ResultCode::RouteUnknownService
     },
-    the_place_of_another = {
+    duplicate_host_and_prefix = {
         |route: &mut Route| route.path_prefix = "/a/".to_string(), ResultCode::RouteDuplicate
     },
-    the_place_of_another_in_other_case = {
+    duplicate_host_in_different_case = {
         |route: &mut Route| {
             route.path_prefix = "/a/".to_string();
             route.host = "HOST.example".to_string();
@@ -77,42 +77,42 @@
         ResultCode::RouteDuplicate
     },
 )]
-fn a_faulty_route_is_named(spoil: fn(&mut Route), code: ResultCode) {
-    let mut configuration = sound();
-    spoil(&mut configuration.routes[1]);
+fn fault_names_the_route(make_invalid: fn(&mut Route), code: ResultCode) {
+    let mut configuration = valid_configuration();
+    make_invalid(&mut configuration.routes[1]);
     let found = faults(&configuration);
-    assert_eq!(codes(&configuration), [code]);
-    assert_eq!(found[0].place, "route b");
+    assert_eq!(fault_codes(&configuration), [code]);
+    assert_eq!(found[0].location, "route b");
 }
 
 #[test]
-fn two_tenants_share_no_key_but_one_may_name_its_own_twice() {
-    let mut configuration = sound();
+fn tenants_may_not_share_a_key_but_one_tenant_may_repeat_its_own() {
+    let mut configuration = valid_configuration();
     configuration.tenants[1].keys.push("key-y".to_string());
-    assert_eq!(codes(&configuration), []);
+    assert_eq!(fault_codes(&configuration), []);
     configuration.tenants[1].keys.push("key-x".to_string());
-    assert_eq!(codes(&configuration), [ResultCode::TenantKeyShared]);
+    assert_eq!(fault_codes(&configuration), [ResultCode::TenantKeyShared]);
 }
 
 #[test]
-fn every_fault_is_told() {
-    let mut configuration = sound();
+fn all_faults_are_reported() {
+    let mut configuration = valid_configuration();
     configuration.routes[0].timeout_ms = 0;
     configuration.routes[1].services[0].service = "t".to_string();
-    assert_eq!(codes(&configuration), [ResultCode::RouteInvalid, ResultCode::RouteUnknownService]);
+    assert_eq!(fault_codes(&configuration), [ResultCode::RouteInvalid, ResultCode::RouteUnknownService]);
 }
 
 #[parameterized(
-    none = { 0.0, &[ResultCode::ServiceInvalid] },
+    zero = { 0.0, &[ResultCode::ServiceInvalid] },
     negative = { -20.0, &[ResultCode::ServiceInvalid] },
-    no_number = { f64::NAN, &[ResultCode::ServiceInvalid] },
-    endless = { f64::INFINITY, &[ResultCode::ServiceInvalid] },
-    some = { 0.5, &[] },
+    not_a_number = { f64::NAN, &[ResultCode::ServiceInvalid] },
+    infinite = { f64::INFINITY, &[ResultCode::ServiceInvalid] },
+    positive = { 0.5, &[] },
 )]
-fn a_rate_of_cold_servers_that_can_not_be_kept_is_a_fault(requests_per_second: f64, expected: &[ResultCode]) {
-    let mut configuration = sound();
+fn cold_rate_must_be_positive_and_finite(requests_per_second: f64, expected: &[ResultCode]) {
+    let mut configuration = valid_configuration();
     configuration.services[0].cold_start = Some(ColdStart { usual_ms: 1_000, requests_per_second });
-    assert_eq!(codes(&configuration), expected);
+    assert_eq!(fault_codes(&configuration), expected);
 }
 
 fn report(sequence: u64, cold_ms: u64) -> InstanceReport {
@@ -133,14 +133,14 @@
 }
 
 #[parameterized(
-    warm = { 0, 0, true },
-    less_cold = { 9_000, 7_800, true },
-    absurdly_cold = { u64::MAX, u64::MAX - 1, true },
-    warm_now = { 300, 0, false },
-    cold_again = { 0, 9_000, false },
+    still_warm = { 0, 0, true },
+    still_cold = { 9_000, 7_800, true },
+    still_cold_at_maximum = { u64::MAX, u64::MAX - 1, true },
+    became_warm = { 300, 0, false },
+    became_cold = { 0, 9_000, false },
 )]
-fn a_report_repeats_another_as_long_as_the_server_is_as_cold(before: u64, now: u64, expected: bool) {
+fn report_is_unchanged_unless_server_became_cold_or_warm(before: u64, now: u64, expected: bool) {
     assert_eq!(report(2, now).repeats(&report(1, before)), expected);
-    let drains = InstanceReport { state: InstanceState::Draining, ..report(2, now) };
-    assert!(!drains.repeats(&report(1, before)));
+    let draining = InstanceReport { state: InstanceState::Draining, ..report(2, now) };
+    assert!(!draining.repeats(&report(1, before)));
 }
--- a/crates/api/tests/resources.rs
+++ b/crates/api/tests/resources.rs
@@ -1,4 +1,4 @@
-//! Reading and writing resources.
+//! Parsing and validation of resources, digests, and ordering of events.
 
 use dockwood_api::ResultCode;
 use dockwood_api::digest::{presented_digest, rendezvous_weight, secret_digest};
@@ -24,12 +24,12 @@
     bad_address = { r#"{"kind":"Server","metadata":{"name":"a"},"spec":{"address":"x","domain":"d","zone":"z"}}"#, ResultCode::BadResource },
     read_only = { r#"{"kind":"Replica","metadata":{"name":"a"},"spec":{}}"#, ResultCode::ReadOnlyKind },
 )]
-fn a_bad_resource_gets_its_number(body: &str, code: ResultCode) {
+fn invalid_resource_is_rejected_with_its_code(body: &str, code: ResultCode) {
     assert_eq!(code_of(body), Some(code));
 }
 
 #[test]
-fn every_problem_of_a_spec_is_named() {
+fn all_invalid_fields_of_a_spec_are_reported() {
     let body = r#"{"kind":"Deployment","metadata":{"name":"a"},"spec":{"model":"","version":"v","replicas":99,"machinesPerReplica":1}}"#;
     let message =
         parse_resource(body.as_bytes()).err().map(|error| error.message().to_string()).unwrap_or_default();
@@ -39,24 +39,24 @@
 }
 
 #[test]
-fn what_is_written_can_be_read_again() {
+fn serialized_resource_can_be_parsed() {
     let body = r#"{"kind":"Server","metadata":{"name":"m-1","labels":{"rack":"7"}},"spec":{"address":"127.0.0.1:80","domain":"d","zone":"z"}}"#;
     let first = parse_resource(body.as_bytes());
-    let written = first.as_ref().map(|resource| serde_json::to_vec(&view_of(resource, Status::default())));
-    let again = written.ok().and_then(Result::ok).map(|bytes| parse_resource(&bytes));
-    assert_eq!(again, Some(first));
+    let serialized = first.as_ref().map(|resource| serde_json::to_vec(&view_of(resource, Status::default())));
+    let second = serialized.ok().and_then(Result::ok).map(|bytes| parse_resource(&bytes));
+    assert_eq!(second, Some(first));
 }
 
 #[parameterized(
     plain = { "m-1", true }, dotted = { "a.b", true }, empty = { "", false }, upper = { "A", false },
     leading = { "-a", false }, trailing = { "a-", false }, slash = { "a/b", false },
 )]
-fn names_are_checked(name: &str, valid: bool) {
+fn resource_names_are_validated(name: &str, valid: bool) {
     assert_eq!(is_valid_name(name), valid);
 }
 
 #[test]
-fn kinds_are_found_by_any_form() {
+fn kind_is_parsed_from_singular_and_plural_names() {
     for kind in Kind::ALL {
         assert_eq!(Kind::from_str(kind.plural()).ok(), Some(kind));
         assert_eq!(Kind::from_str(kind.name()).ok(), Some(kind));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_leaked_digest_opens_nothing() {
+fn leaked_digest_is_not_accepted_as_secret() {
     let stored = secret_digest("a-secret-key");
     assert_eq!(presented_digest("a-secret-key"), stored);
     assert_ne!(presented_digest(&stored), stored);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_replicated_change_stands_once_in_the_merged_time_line() {
+fn replicated_change_occurs_once_in_merged_timeline() {
     let merged =
         merge(vec![event(3, "b", Some(7)), event(2, "a", Some(7)), event(1, "c", None), event(4, "c", None)]);
     let order: Vec<&str> = merged.iter().map(|event| event.process.as_str()).collect();
@@ -95,24 +95,24 @@
 
 proptest! {
     #[test]
-    fn reading_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn parsing_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = parse_resource(&bytes);
     }
 
     #[test]
-    fn stamps_only_grow(walls in proptest::collection::vec(0_u64..50, 1..40)) {
+    fn timestamps_strictly_increase(wall_clocks in proptest::collection::vec(0_u64..50, 1..40)) {
         let mut stamp = ClockStamp::default();
-        for wall in walls {
-            let next = stamp.tick(wall);
+        for wall_ms in wall_clocks {
+            let next = stamp.tick(wall_ms);
             prop_assert!(next > stamp);
-            let merged = next.merge(ClockStamp { wall_ms: wall + 3, logical: 2 }, wall);
-            prop_assert!(merged > next && merged.wall_ms >= wall + 3);
+            let merged = next.merge(ClockStamp { wall_ms: wall_ms + 3, logical: 2 }, wall_ms);
+            prop_assert!(merged > next && merged.wall_ms >= wall_ms + 3);
             stamp = merged;
         }
     }
 
     #[test]
-    fn a_lost_candidate_moves_only_its_own_keys(keys in proptest::collection::vec("[a-z]{1,8}", 1..30)) {
+    fn removing_a_candidate_moves_only_its_own_keys(keys in proptest::collection::vec("[a-z]{1,8}", 1..30)) {
         let names = ["a", "b", "c", "d"];
         let owner = |key: &str, names: &[&str]| names.iter().max_by_key(|name| rendezvous_weight(key, name)).map(|name| name.to_string());
         for key in keys {
