--- a/crates/listen/src/lib.rs
+++ b/crates/listen/src/lib.rs
@@ -1,8 +1,9 @@
-//! Accepts HTTP connections without Nagle's algorithm.
+//! Accepts HTTP connections with Nagle's algorithm disabled (`TCP_NODELAY`).
 //!
-//! An answer that is streamed is written in small pieces: the head, then each token. With Nagle's algorithm the
-//! second piece waits until the first is acknowledged, which a client may put off for 40 ms. The HTTP library
-//! leaves the algorithm on; this crate's acceptor turns it off. It does nothing else.
+//! A streamed response is written in small pieces: the head, then each token. With Nagle's algorithm, the second
+//! piece is delayed until the first one is acknowledged, which may take up to 40 ms if the client uses delayed
+//! acknowledgements. The HTTP library leaves the algorithm enabled; the acceptor of this crate disables it and
+//! changes nothing else.
 
 use poem::Addr;
 use poem::http::uri::Scheme;
@@ -11,14 +12,14 @@
 use std::io;
 use tokio::net::{TcpListener, TcpStream};
 
-/// An acceptor over a listening socket.
+/// Acceptor on a listening socket.
 #[derive(Debug)]
 pub struct PromptAcceptor {
     listener: TcpListener,
 }
 
 impl PromptAcceptor {
-    /// Accepts on a socket that listens already.
+    /// Creates an acceptor from a socket that is already listening.
     pub fn new(listener: TcpListener) -> Self {
         PromptAcceptor { listener }
     }
--- a/crates/log-lines/src/lib.rs
+++ b/crates/log-lines/src/lib.rs
@@ -1,238 +1,240 @@
-//! Reads the daemons' logs: one JSON object a line, of the form that docs/OPERATIONS-GATEWAY.md documents.
+//! Parses the logs of daemons: one JSON object per line, in the format documented in docs/OPERATIONS-GATEWAY.md.
 //!
-//! Fields that are not needed here, and kinds that this version doesn't know, are passed over, so that logs of a later
-//! version can be read.
+//! Fields that are not needed here and unknown kinds of lines are ignored, so that logs of later versions can be
+//! read.
 
 use quick_error::quick_error;
 use serde::Deserialize;
 
-/// Version of the form that is read.
+/// The supported version of the log format.
 pub const SCHEMA_VERSION: u64 = 1;
 
 quick_error! {
-    /// Why a line can't be read.
+    /// Why a line can't be parsed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum LineFault {
-        /// No JSON object stands in it.
+        /// The line contains no JSON object.
         NoObject {
             display("no JSON object")
         }
-        /// It is cut off, or its fields are not those of its kind.
+        /// The line is truncated, or its fields are not those of its kind.
         Damaged(reason: String) {
             display("damaged: {reason}")
         }
-        /// It is an object of another program, or of another form.
+        /// The line is an object of another program, or in another version of the format.
         Foreign {
-            display("not a line of a daemon's log")
+            display("not a daemon log line")
         }
     }
 }
 
-/// A line of a log.
+/// A log line.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Line {
     schema: u64,
     /// Milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: String,
-    /// What is told.
+    /// Content of the line.
     #[serde(flatten)]
     pub body: Body,
 }
 
-/// What a line tells.
+/// Content of a line, by kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "camelCase")]
 pub enum Body {
-    /// A change of what the daemon believes.
+    /// A state change as observed by the daemon.
     Event(Event),
-    /// An order that a server was sent.
+    /// An order that was sent to a server.
     Order(Order),
-    /// How a request ended.
+    /// The end of a request.
     Request(Request),
-    /// A step of a request under which servers may end.
+    /// A step in the handling of a request that is suspected of crashing servers.
     Suspect(Suspect),
-    /// A long turn of the control thread.
+    /// A slow turn of the control thread.
     SlowTurn(SlowTurn),
-    /// A fault of the daemon's own.
+    /// An internal fault of the daemon.
     Fault(Fault),
-    /// A kind that this version doesn't know.
+    /// A line of unknown kind.
     #[serde(other)]
     Other,
 }
 
-/// A change of what the daemon believes.
+/// A state change as observed by the daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Event {
-    /// Kind and name of what changed.
+    /// Kind and name of the subject that changed.
     pub subject: String,
-    /// The change.
+    /// What changed, as a fixed identifier.
     pub reason: String,
-    /// For people.
+    /// Human-readable details.
     pub message: String,
-    /// The revision that led to it.
+    /// The revision that caused it, if any.
     pub revision: Option<u64>,
 }
 
 impl Event {
-    /// Whether it tells of a request with this fingerprint, or of a server that ended while it had that request.
+    /// Whether the event is about the request with this fingerprint, or about a server that ended while it was running
+    /// that request.
     pub fn is_about_request(&self, fingerprint: &str) -> bool {
-        /// Prefix of the subjects of requests; the fingerprint follows.
-        const REQUEST_SUBJECT: &str = "request/";
-        /// Reason of the event that a server ended while it had requests, which it names.
-        const ENDED: &str = "EndedUnderRequests";
-        let is_subject = self.subject.strip_prefix(REQUEST_SUBJECT) == Some(fingerprint);
-        is_subject || (self.reason == ENDED && self.message.contains(fingerprint))
+        /// Prefix of request subjects, followed by the fingerprint.
+        const REQUEST_PREFIX: &str = "request/";
+        /// Reason of events about a server that ended while it was running requests; the message lists them.
+        const ENDED_REASON: &str = "EndedUnderRequests";
+        let is_subject = self.subject.strip_prefix(REQUEST_PREFIX) == Some(fingerprint);
+        is_subject || (self.reason == ENDED_REASON && self.message.contains(fingerprint))
     }
 
-    /// The epoch of the group that it is about, if it is about one.
+    /// Returns the epoch of the group that the event is about, if any.
     pub fn group_epoch(&self) -> Option<u64> {
-        /// Prefix of the subjects of groups; the epoch follows.
-        const GROUP_SUBJECT: &str = "group/g";
-        self.subject.strip_prefix(GROUP_SUBJECT)?.parse().ok()
+        /// Prefix of group subjects, followed by the epoch.
+        const GROUP_PREFIX: &str = "group/g";
+        self.subject.strip_prefix(GROUP_PREFIX)?.parse().ok()
     }
 }
 
-/// An order that a server was sent.
+/// An order that was sent to a server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Order {
-    /// The order.
+    /// Name of the order.
     pub order: String,
     /// Instance id.
     pub instance: String,
     /// Group epoch.
     pub epoch: u64,
-    /// What came of it.
+    /// Result of sending it.
     pub answer: String,
 }
 
-/// How a request ended, and what was decided on it.
+/// The end of a request, with the decisions that were made for it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Request {
-    /// The caller's attempt id; empty if it sent none.
+    /// The caller's attempt id; empty if the caller sent none.
     pub request: String,
     /// Number of the result code.
     pub code: u16,
-    /// Its name.
+    /// Name of the result code.
     pub code_name: String,
-    /// Model that it named.
+    /// Requested model.
     pub model: Option<String>,
-    /// What it is recognised by when it comes again, under whatever attempt id.
+    /// Fingerprint of the request, which is the same for all attempts.
     pub fingerprint: Option<String>,
-    /// Version of the configuration that it was judged by.
+    /// Version of the configuration that was applied to it.
     pub configuration: u64,
-    /// What was left of the configuration lease when it ended, in milliseconds.
+    /// Remaining time of the configuration lease when it ended, in milliseconds.
     pub lease_left_ms: u64,
-    /// Age of the leader's last word on places when it ended, in milliseconds.
+    /// Age of the leader's last response on places when it ended, in milliseconds.
     pub places_age_ms: Option<u64>,
-    /// From its arrival to its end, in milliseconds.
+    /// Time from its arrival to its end, in milliseconds.
     pub took_ms: u64,
-    /// The time that it had, in milliseconds.
+    /// Maximum time allowed for it, in milliseconds.
     pub allowed_ms: u64,
-    /// How long it waited for a place, in milliseconds.
+    /// Time for which it waited for a place, in milliseconds.
     pub waited_ms: u64,
-    /// From its arrival to the first event that was passed on, in milliseconds.
+    /// Time from its arrival to the first event that was forwarded, in milliseconds.
     pub first_event_ms: Option<u64>,
-    /// Longest pause between two events that were passed on, in milliseconds.
+    /// Longest pause between two forwarded events, in milliseconds.
     pub longest_pause_ms: Option<u64>,
-    /// Tokens of its prompt, for a model.
+    /// Prompt tokens; set for requests to models only.
     pub prompt_tokens: Option<u64>,
-    /// Each server that it was sent to, in order.
+    /// Sends to servers, in order.
     pub sends: Vec<Send>,
-    /// Some of the servers that would have taken it, where all of these rest or leave.
+    /// Some of the servers that could have accepted it, if all of these requested a back-off or announced their
+    /// shutdown.
     #[serde(default)]
     pub servers_held: Vec<String>,
-    /// Lines of this result that were held back since the last one that was written.
+    /// Number of lines with this result that were suppressed since the last one that was written.
     pub held_back: u64,
 }
 
-/// One send of a request.
+/// A send of a request to a server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Send {
     /// Instance id.
     pub instance: String,
-    /// Epoch of its group, for a model server.
+    /// Epoch of its group; set for model engines only.
     pub epoch: Option<u64>,
-    /// When, in milliseconds after the request's arrival.
+    /// Time of the send, in milliseconds after the arrival of the request.
     pub at_ms: u64,
-    /// Who chose the server.
+    /// Which component selected the server.
     pub chosen_by: Option<String>,
-    /// How it ended, if it did not bring the answer.
+    /// How the send ended, if it did not produce the response.
     pub ended: Option<String>,
-    /// Status of the server's answer, if there was one.
+    /// HTTP status of the server's response, if there was one.
     pub status: Option<u16>,
-    /// For how long the server asked to be sent nothing, in milliseconds.
+    /// Back-off requested by the server, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// The server said that it leaves.
+    /// Whether the server announced its shutdown.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests a second that the server said it takes from all senders together.
+    /// Rate limit declared by the server, in requests per second from all senders combined.
     pub limit_per_second: Option<f64>,
 }
 
-/// A step of a request under which servers may end.
+/// A step in the handling of a request that is suspected of crashing servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Suspect {
-    /// The step.
+    /// Name of the step.
     pub step: String,
-    /// What the request is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: String,
     /// The caller's attempt id.
     pub request: String,
-    /// The server that ended, or at which it is tried.
+    /// The server that ended, or on which the request is tried.
     pub instance: Option<String>,
-    /// Servers that speak against it.
+    /// Servers whose crashes are evidence against the request.
     pub servers: Vec<String>,
 }
 
-/// A turn of the control thread that took long.
+/// A slow turn of the control thread.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SlowTurn {
-    /// The time that it worked, in milliseconds.
+    /// Duration of the work, in milliseconds.
     pub took_ms: u64,
-    /// Lines on slow turns that were held back since the last one.
+    /// Number of lines about slow turns that were suppressed since the last one that was written.
     pub held_back: u64,
 }
 
-/// A fault of the daemon's own.
+/// An internal fault of the daemon.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
-/// What a line must have to be one of a daemon's.
+/// The field that identifies a line of a daemon's log.
 #[derive(Deserialize)]
-struct Form {
+struct SchemaField {
     schema: u64,
 }
 
-/// Reads a line. What stands before the object, such as a collector's time and host, is passed over.
+/// Parses a line. Text before the object, such as the time and host added by a log collector, is ignored.
 pub fn parse(text: &str) -> Result<Line, LineFault> {
     let start = text.find('{').ok_or(LineFault::NoObject)?;
     let object = &text[start..];
     match serde_json::from_str::<Line>(object) {
         Ok(line) if line.schema == SCHEMA_VERSION => Ok(line),
         Ok(_) => Err(LineFault::Foreign),
-        Err(error) => Err(fault_of(object, &error)),
+        Err(error) => Err(classify_error(object, &error)),
     }
 }
 
-/// Why an object is no line: it is damaged, or another program's.
-fn fault_of(object: &str, error: &serde_json::Error) -> LineFault {
+/// Determines why an object is not a valid line: it is damaged, or was written by another program.
+fn classify_error(object: &str, error: &serde_json::Error) -> LineFault {
     let damaged = |error: &serde_json::Error| LineFault::Damaged(error.to_string());
     match serde_json::from_str::<serde_json::Value>(object) {
         Err(error) => damaged(&error),
-        Ok(whole) => match serde_json::from_value::<Form>(whole) {
-            Ok(form) if form.schema == SCHEMA_VERSION => damaged(error),
+        Ok(value) => match serde_json::from_value::<SchemaField>(value) {
+            Ok(field) if field.schema == SCHEMA_VERSION => damaged(error),
             _ => LineFault::Foreign,
         },
     }
