--- a/crates/api/src/gateway/mod.rs
+++ b/crates/api/src/gateway/mod.rs
@@ -21,4 +21,4 @@
     DispatchScope, EventPace, GroupLoad, LimitedGroup, LoadDigest, LoadReport, ModelLoad, PlaceReply,
     PlaceRequest, SharedGroupLoad,
 };
-pub use validation::{ConfigurationFault, faults};
+pub use validation::{ConfigurationFault, validate_configuration};
--- a/crates/api/src/gateway/validation.rs
+++ b/crates/api/src/gateway/validation.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns all faults in a configuration; none if it is valid.
-pub fn faults(configuration: &GatewayConfiguration) -> Vec<ConfigurationFault> {
+pub fn validate_configuration(configuration: &GatewayConfiguration) -> Vec<ConfigurationFault> {
     let mut faults = Vec::new();
     for route in &configuration.routes {
         check_route(configuration, route, &mut faults);
--- a/crates/api/tests/gateway.rs
+++ b/crates/api/tests/gateway.rs
@@ -3,7 +3,7 @@
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{
     ColdStart, GatewayConfiguration, InstanceReport, InstanceState, Route, RouteKind, ServiceProfile,
-    TenantKeys, WeightedService, faults,
+    TenantKeys, WeightedService, validate_configuration,
 };
 use yare::parameterized;
 
@@ -49,7 +49,7 @@
 }
 
 fn fault_codes(configuration: &GatewayConfiguration) -> Vec<ResultCode> {
-    faults(configuration).iter().map(|fault| fault.code).collect()
+    validate_configuration(configuration).iter().map(|fault| fault.code).collect()
 }
 
 #[test]
@@ -80,7 +80,7 @@
 fn fault_names_the_route(make_invalid: fn(&mut Route), code: ResultCode) {
     let mut configuration = valid_configuration();
     make_invalid(&mut configuration.routes[1]);
-    let found = faults(&configuration);
+    let found = validate_configuration(&configuration);
     assert_eq!(fault_codes(&configuration), [code]);
     assert_eq!(found[0].location, "route b");
 }
--- a/crates/daemon/src/gateway/operators.rs
+++ b/crates/daemon/src/gateway/operators.rs
@@ -8,7 +8,7 @@
 use crate::dialect::OperatorCall;
 use crate::peer::{read_document, read_revision, submit};
 use crate::shared::Shared;
-use dockwood_api::gateway::{GatewayConfiguration, InstanceReport, faults};
+use dockwood_api::gateway::{GatewayConfiguration, InstanceReport, validate_configuration};
 use dockwood_api::{ApiError, ResultCode};
 use dockwood_state::{CommandBody, GatewayCommand, Tables};
 use hyper::body::Incoming;
@@ -52,7 +52,7 @@
     gateway: &Gateway,
     configuration: GatewayConfiguration,
 ) -> Result<Response<AnswerBody>, ApiError> {
-    let found = faults(&configuration);
+    let found = validate_configuration(&configuration);
     if let Some(first) = found.first() {
         let all: Vec<String> = found.iter().map(ToString::to_string).collect();
         return Err(ApiError::new(first.code, all.join("; ")));
