--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -18,7 +18,7 @@
 use crate::traffic::Traffic;
 use dockwood_api::ResultCode;
 use dockwood_api::resource::API_PREFIX;
-use dockwood_listen::PromptAcceptor;
+use dockwood_listen::NoDelayAcceptor;
 use poem::error::{MethodNotAllowedError, NotFoundError};
 use poem::{EndpointExt, Route, Server, get, post, put};
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     listener: std::net::TcpListener,
     stop: impl Future<Output = ()> + Send + 'static,
 ) -> std::io::Result<()> {
-    let acceptor = PromptAcceptor::new(tokio::net::TcpListener::from_std(listener)?);
+    let acceptor = NoDelayAcceptor::new(tokio::net::TcpListener::from_std(listener)?);
     Server::new_with_acceptor(acceptor).run_with_graceful_shutdown(routes(app), stop, Some(CLOSE_LIMIT)).await
 }
 
--- a/crates/emulator/src/http/server.rs
+++ b/crates/emulator/src/http/server.rs
@@ -1,14 +1,14 @@
 //! Listening, and stopping the hard way.
 
-use dockwood_listen::PromptAcceptor;
+use dockwood_listen::NoDelayAcceptor;
 use poem::listener::Acceptor;
 use poem::{Endpoint, IntoEndpoint, Server};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Listens on an address.
-pub async fn listen(address: SocketAddr) -> std::io::Result<PromptAcceptor> {
-    tokio::net::TcpListener::bind(address).await.map(PromptAcceptor::new)
+pub async fn listen(address: SocketAddr) -> std::io::Result<NoDelayAcceptor> {
+    tokio::net::TcpListener::bind(address).await.map(NoDelayAcceptor::new)
 }
 
 /// Serves until `stop` completes; then every connection is dropped at once, as when a process dies.
--- a/crates/listen/src/lib.rs
+++ b/crates/listen/src/lib.rs
@@ -14,18 +14,18 @@
 
 /// Acceptor on a listening socket.
 #[derive(Debug)]
-pub struct PromptAcceptor {
+pub struct NoDelayAcceptor {
     listener: TcpListener,
 }
 
-impl PromptAcceptor {
+impl NoDelayAcceptor {
     /// Creates an acceptor from a socket that is already listening.
     pub fn new(listener: TcpListener) -> Self {
-        PromptAcceptor { listener }
+        NoDelayAcceptor { listener }
     }
 }
 
-impl Acceptor for PromptAcceptor {
+impl Acceptor for NoDelayAcceptor {
     type Io = TcpStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
