--- a/crates/api/src/gateway/instance.rs
+++ b/crates/api/src/gateway/instance.rs
@@ -73,7 +73,7 @@
 impl InstanceReport {
     /// Whether the report contains no news compared with `earlier`, except that the server is still alive. The
     /// remaining cold time changes with each report and is ignored; a change between cold and warm counts as news.
-    pub fn repeats(&self, earlier: &InstanceReport) -> bool {
+    pub fn is_unchanged_since(&self, earlier: &InstanceReport) -> bool {
         let is_as_cold = (self.cold_ms > 0) == (earlier.cold_ms > 0);
         let (sequence, cold_ms) = (earlier.sequence, earlier.cold_ms);
         is_as_cold && InstanceReport { sequence, cold_ms, ..self.clone() } == *earlier
--- a/crates/api/tests/gateway.rs
+++ b/crates/api/tests/gateway.rs
@@ -140,7 +140,7 @@
     became_cold = { 0, 9_000, false },
 )]
 fn report_is_unchanged_unless_server_became_cold_or_warm(before: u64, now: u64, expected: bool) {
-    assert_eq!(report(2, now).repeats(&report(1, before)), expected);
+    assert_eq!(report(2, now).is_unchanged_since(&report(1, before)), expected);
     let draining = InstanceReport { state: InstanceState::Draining, ..report(2, now) };
-    assert!(!draining.repeats(&report(1, before)));
+    assert!(!draining.is_unchanged_since(&report(1, before)));
 }
--- a/crates/daemon/src/gateway/registration.rs
+++ b/crates/daemon/src/gateway/registration.rs
@@ -75,7 +75,7 @@
     /// Whether a report holds more than that its server lives.
     fn is_news(&self, report: &InstanceReport) -> bool {
         let known = lock(&self.known);
-        known.get(&report.id).is_none_or(|last| !report.repeats(last))
+        known.get(&report.id).is_none_or(|last| !report.is_unchanged_since(last))
     }
 
     fn noted(&self, report: InstanceReport) {
