--- a/crates/api/src/gateway/limit.rs
+++ b/crates/api/src/gateway/limit.rs
@@ -59,7 +59,7 @@
 
 /// Servers' rate limits, sent by one daemon to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The limits known to the sender.
     pub limits: Vec<ServerLimit>,
     /// Whether the sender is the control leader, which sends the limits to all daemons itself.
--- a/crates/api/src/peer/service.rs
+++ b/crates/api/src/peer/service.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::gateway::{
-    InstanceReport, LimitNews, LoadDigest, LoadReport, PlaceReply, PlaceRequest, TurnReply, TurnRequest,
+    InstanceReport, LimitUpdate, LoadDigest, LoadReport, PlaceReply, PlaceRequest, TurnReply, TurnRequest,
 };
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
     async fn assign_place(request: PlaceRequest) -> Option<PlaceReply>;
 
     /// Notifies a daemon of servers that declared a limit, or whose limit has ended.
-    async fn share_limits(news: LimitNews);
+    async fn share_limits(news: LimitUpdate);
 
     /// Requests permission to send one request to a server from its limiter, the daemon that allocates its limit.
     async fn take_turn(request: TurnRequest) -> TurnReply;
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -8,7 +8,7 @@
 use crate::traffic::Traffic;
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::{
-    DispatchScope, InstanceReport, LimitNews, LoadDigest, LoadReport, PlaceReply, PlaceRequest, TurnReply,
+    DispatchScope, InstanceReport, LimitUpdate, LoadDigest, LoadReport, PlaceReply, PlaceRequest, TurnReply,
     TurnRequest,
 };
 use dockwood_api::peer::{
@@ -144,7 +144,7 @@
         self.ask(|reply| ControlMessage::AssignPlace { request, reply }).await.flatten()
     }
 
-    async fn share_limits(self, _: Context, news: LimitNews) {
+    async fn share_limits(self, _: Context, news: LimitUpdate) {
         self.count("share_limits");
         self.shared.pushback.take_news(&self.shared, &news);
     }
--- a/crates/daemon/src/pushback/limit_sync.rs
+++ b/crates/daemon/src/pushback/limit_sync.rs
@@ -6,7 +6,7 @@
 use crate::control::ControlMessage;
 use crate::lock::lock;
 use crate::shared::Shared;
-use dockwood_api::gateway::{LimitNews, ServerLimit};
+use dockwood_api::gateway::{LimitUpdate, ServerLimit};
 use dockwood_api::peer::PeerClient;
 use dockwood_routing::Millis;
 use std::net::SocketAddr;
@@ -66,17 +66,17 @@
     for daemon in others.filter(|daemon| *daemon != shared.settings.peer) {
         let (shared, limits) = (shared.clone(), limits.clone());
         tokio::spawn(async move {
-            send_limits(&shared, daemon, LimitNews { limits, is_from_leader: true }).await
+            send_limits(&shared, daemon, LimitUpdate { limits, is_from_leader: true }).await
         });
     }
 }
 
 async fn send_to_leader(shared: &Arc<Shared>, limits: &[ServerLimit]) -> bool {
     let Some(leader) = shared.leader() else { return false };
-    send_limits(shared, leader, LimitNews { limits: limits.to_vec(), is_from_leader: false }).await
+    send_limits(shared, leader, LimitUpdate { limits: limits.to_vec(), is_from_leader: false }).await
 }
 
-async fn send_limits(shared: &Shared, daemon: SocketAddr, news: LimitNews) -> bool {
+async fn send_limits(shared: &Shared, daemon: SocketAddr, news: LimitUpdate) -> bool {
     // An old connection to a daemon that has restarted fails on the first call.
     for _ in 0..MAX_ATTEMPTS {
         let news = news.clone();
@@ -92,7 +92,7 @@
 impl Pushback {
     /// Applies limits received from another daemon. Changes are forwarded unless they come from the leader, which sends
     /// them to all daemons itself.
-    pub fn take_news(&self, shared: &Shared, news: &LimitNews) {
+    pub fn take_news(&self, shared: &Shared, news: &LimitUpdate) {
         news.limits.iter().for_each(|limit| self.merge(shared, limit, !news.is_from_leader));
     }
 
