--- a/crates/api/src/gateway/load.rs
+++ b/crates/api/src/gateway/load.rs
@@ -43,7 +43,7 @@
 
 impl GroupLoad {
     /// Whether the group has load or evidence to report. A hold alone doesn't count, because it rarely changes.
-    pub fn is_at_work(&self) -> bool {
+    pub fn has_activity(&self) -> bool {
         self.in_flight > 0 || self.silent || self.refuses || self.progressed
     }
 }
--- a/crates/daemon/src/gateway/load_exchange.rs
+++ b/crates/daemon/src/gateway/load_exchange.rs
@@ -74,7 +74,7 @@
     let Some(leader) = shared.leader() else { return IDLE_EVERY };
     let report = gateway.loads.report(&shared.settings.name, &shared.pushback);
     let is_busy = shared.in_flight() > 0
-        || report.groups.iter().any(GroupLoad::is_at_work)
+        || report.groups.iter().any(GroupLoad::has_activity)
         || !report.models.is_empty();
     let call = |client: PeerClient, context| async move { client.exchange_load(context, report).await };
     if let Ok(Some(digest)) = shared.peers.call(leader, ANSWER_TIMEOUT, call).await {
--- a/crates/daemon/src/gateway/loads/reports.rs
+++ b/crates/daemon/src/gateway/loads/reports.rs
@@ -81,7 +81,7 @@
                 pace: std::mem::take(&mut group.pace),
                 held_for_ms: held_for_ms(&group.row, pushback, now),
             };
-            (load.is_at_work() || load.held_for_ms > 0).then_some(load)
+            (load.has_activity() || load.held_for_ms > 0).then_some(load)
         };
         groups.iter_mut().filter(|(_, group)| concerns(&group.row)).filter_map(tell).collect()
     }
