--- a/crates/bench/src/log_report/reading.rs
+++ b/crates/bench/src/log_report/reading.rs
@@ -1,6 +1,6 @@
 //! Reads log files. What can't be read is counted and named, and stops nothing.
 
-use dockwood_log_lines::{Line, LineFault, parse};
+use dockwood_log_lines::{Line, LineError, parse};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
 use std::path::Path;
@@ -14,7 +14,7 @@
     /// File and number of the line.
     pub place: String,
     /// Why.
-    pub fault: LineFault,
+    pub fault: LineError,
 }
 
 /// What was read of all logs.
@@ -58,10 +58,10 @@
         Ok(())
     }
 
-    fn count(&mut self, place: String, fault: LineFault) {
+    fn count(&mut self, place: String, fault: LineError) {
         match fault {
-            LineFault::Damaged(_) => self.damaged += 1,
-            LineFault::NoObject | LineFault::Foreign => self.foreign += 1,
+            LineError::Damaged(_) => self.damaged += 1,
+            LineError::NoObject | LineError::Foreign => self.foreign += 1,
         }
         if self.named.len() < MOST_NAMED {
             self.named.push(UnreadLine { place, fault });
--- a/crates/log-lines/src/lib.rs
+++ b/crates/log-lines/src/lib.rs
@@ -12,7 +12,7 @@
 quick_error! {
     /// Why a line can't be parsed.
     #[derive(Clone, Debug, PartialEq, Eq)]
-    pub enum LineFault {
+    pub enum LineError {
         /// The line contains no JSON object.
         NoObject {
             display("no JSON object")
@@ -218,24 +218,24 @@
 }
 
 /// Parses a line. Text before the object, such as the time and host added by a log collector, is ignored.
-pub fn parse(text: &str) -> Result<Line, LineFault> {
-    let start = text.find('{').ok_or(LineFault::NoObject)?;
+pub fn parse(text: &str) -> Result<Line, LineError> {
+    let start = text.find('{').ok_or(LineError::NoObject)?;
     let object = &text[start..];
     match serde_json::from_str::<Line>(object) {
         Ok(line) if line.schema == SCHEMA_VERSION => Ok(line),
-        Ok(_) => Err(LineFault::Foreign),
+        Ok(_) => Err(LineError::Foreign),
         Err(error) => Err(classify_error(object, &error)),
     }
 }
 
 /// Determines why an object is not a valid line: it is damaged, or was written by another program.
-fn classify_error(object: &str, error: &serde_json::Error) -> LineFault {
-    let damaged = |error: &serde_json::Error| LineFault::Damaged(error.to_string());
+fn classify_error(object: &str, error: &serde_json::Error) -> LineError {
+    let damaged = |error: &serde_json::Error| LineError::Damaged(error.to_string());
     match serde_json::from_str::<serde_json::Value>(object) {
         Err(error) => damaged(&error),
         Ok(value) => match serde_json::from_value::<SchemaField>(value) {
             Ok(field) if field.schema == SCHEMA_VERSION => damaged(error),
-            _ => LineFault::Foreign,
+            _ => LineError::Foreign,
         },
     }
 }
--- a/crates/log-lines/tests/lines.rs
+++ b/crates/log-lines/tests/lines.rs
@@ -1,12 +1,12 @@
 //! Parsing of log lines, and the classification of lines that can't be parsed.
 
-use dockwood_log_lines::{Body, LineFault, parse};
+use dockwood_log_lines::{Body, LineError, parse};
 use yare::parameterized;
 
 const EVENT: &str = r#"{"schema":1,"atMs":5,"daemon":"m1","kind":"event","subject":"group/g7","reason":"Open","message":"","code":1000,"codeName":"Ok","revision":3}"#;
 
 #[test]
-fn prefix_added_by_log_collector_is_ignored() -> Result<(), LineFault> {
+fn prefix_added_by_log_collector_is_ignored() -> Result<(), LineError> {
     let line = parse(&format!("2026-12-02T10:00:00Z host-1 {EVENT}"))?;
     assert_eq!((line.at_ms, line.daemon.as_str()), (5, "m1"));
     let Body::Event(event) = line.body else { panic!("{line:?}") };
@@ -15,22 +15,22 @@
 }
 
 #[test]
-fn unknown_kind_is_ignored() -> Result<(), LineFault> {
+fn unknown_kind_is_ignored() -> Result<(), LineError> {
     let line = parse(r#"{"schema":1,"atMs":5,"daemon":"m1","kind":"weather","sky":"grey"}"#)?;
     assert!(matches!(line.body, Body::Other));
     Ok(())
 }
 
-fn is_damaged(fault: &LineFault) -> bool {
-    matches!(fault, LineFault::Damaged(_))
+fn is_damaged(fault: &LineError) -> bool {
+    matches!(fault, LineError::Damaged(_))
 }
 
-fn is_foreign(fault: &LineFault) -> bool {
-    *fault == LineFault::Foreign
+fn is_foreign(fault: &LineError) -> bool {
+    *fault == LineError::Foreign
 }
 
-fn has_no_object(fault: &LineFault) -> bool {
-    *fault == LineFault::NoObject
+fn has_no_object(fault: &LineError) -> bool {
+    *fault == LineError::NoObject
 }
 
 #[parameterized(
@@ -42,7 +42,7 @@
     other_program = { r#"{"level":"info"}"#, is_foreign },
     other_schema_version = { r#"{"schema":2,"atMs":5,"daemon":"m1","kind":"event"}"#, is_foreign },
 )]
-fn invalid_line_is_classified(text: &str, is_expected: fn(&LineFault) -> bool) {
+fn invalid_line_is_classified(text: &str, is_expected: fn(&LineError) -> bool) {
     match parse(text) {
         Ok(line) => panic!("{line:?}"),
         Err(fault) => assert!(is_expected(&fault), "{fault}"),
