--- a/crates/api/src/gateway/limit.rs
+++ b/crates/api/src/gateway/limit.rs
@@ -14,7 +14,7 @@
 
 impl RequestRate {
     /// Creates a rate from thousandths of a request per second.
-    pub const fn of_thousandths(thousandths: u64) -> RequestRate {
+    pub const fn from_thousandths(thousandths: u64) -> RequestRate {
         RequestRate { thousandths }
     }
 
--- a/crates/grouping/tests/held_back_groups.rs
+++ b/crates/grouping/tests/held_back_groups.rs
@@ -117,7 +117,7 @@
 fn limit(server: &str, thousandths: u64) -> ServerLimit {
     ServerLimit {
         server: ServerStart { id: server.to_string(), started_ms: None },
-        rate: RequestRate::of_thousandths(thousandths),
+        rate: RequestRate::from_thousandths(thousandths),
         has_ended: false,
         heard_ago_ms: 0,
     }
--- a/crates/routing/src/pushback/limits.rs
+++ b/crates/routing/src/pushback/limits.rs
@@ -15,7 +15,7 @@
 /// Number of slow start steps before the server is unlimited.
 const SLOW_START_STEPS: u64 = 3;
 /// Minimum initial rate of the slow start.
-const MIN_SLOW_START_RATE: RequestRate = RequestRate::of_thousandths(1_000);
+const MIN_SLOW_START_RATE: RequestRate = RequestRate::from_thousandths(1_000);
 /// How long the end of a limit is kept, in milliseconds: messages that still carry the limit may be on their
 /// way between daemons.
 const ENDED_LIMIT_RETENTION_MS: Millis = 15_000;
@@ -92,7 +92,7 @@
         }
         let step = now.saturating_sub(self.observed_at) / SLOW_START_STEP_MS;
         let first = self.rate.max(MIN_SLOW_START_RATE).thousandths();
-        (step < SLOW_START_STEPS).then(|| RequestRate::of_thousandths(first << step))
+        (step < SLOW_START_STEPS).then(|| RequestRate::from_thousandths(first << step))
     }
 
     fn to_server_limit(&self, now: Millis, id: &str) -> ServerLimit {
--- a/crates/routing/tests/limit_fleet.rs
+++ b/crates/routing/tests/limit_fleet.rs
@@ -86,7 +86,7 @@
 }
 
 fn named(thousandths: Option<u64>) -> NamedLimit {
-    thousandths.map_or(NamedLimit::Absent, |rate| NamedLimit::Rate(RequestRate::of_thousandths(rate)))
+    thousandths.map_or(NamedLimit::Absent, |rate| NamedLimit::Rate(RequestRate::from_thousandths(rate)))
 }
 
 impl Fleet {
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -4,7 +4,7 @@
 use dockwood_routing::pushback::{LimitChange, LimitObservation, LimitTable, NamedLimit};
 
 const fn rate(thousandths: u64) -> RequestRate {
-    RequestRate::of_thousandths(thousandths)
+    RequestRate::from_thousandths(thousandths)
 }
 
 fn start(id: &str, started_ms: u64) -> ServerStart {
--- a/crates/routing/tests/signals.rs
+++ b/crates/routing/tests/signals.rs
@@ -85,7 +85,7 @@
 }
 
 const fn rate(thousandths: u64) -> NamedLimit {
-    NamedLimit::Rate(RequestRate::of_thousandths(thousandths))
+    NamedLimit::Rate(RequestRate::from_thousandths(thousandths))
 }
 
 #[parameterized(
--- a/crates/routing/tests/turns.rs
+++ b/crates/routing/tests/turns.rs
@@ -30,7 +30,7 @@
     above_resolution = { 5_000_000, 1 },
 )]
 fn interval_follows_the_rate(thousandths: u64, expected_ms: u64) {
-    assert_eq!(interval_ms(RequestRate::of_thousandths(thousandths)), expected_ms);
+    assert_eq!(interval_ms(RequestRate::from_thousandths(thousandths)), expected_ms);
 }
 
 #[parameterized(
@@ -40,7 +40,7 @@
     a_lot = { 300_000 },
 )]
 fn no_window_exceeds_the_rate_and_turns_are_not_wasted(thousandths: u64) {
-    let rate = RequestRate::of_thousandths(thousandths);
+    let rate = RequestRate::from_thousandths(thousandths);
     let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, rate, TurnShare::Whole, 1_000..41_000);
     for from in &times {
@@ -54,13 +54,13 @@
 #[test]
 fn a_server_with_rate_zero_still_gets_occasional_turns() {
     let mut allocator = TurnAllocator::default();
-    let times = granted(&mut allocator, RequestRate::of_thousandths(0), TurnShare::Whole, 0..60_000);
+    let times = granted(&mut allocator, RequestRate::from_thousandths(0), TurnShare::Whole, 0..60_000);
     assert!((4..=6).contains(&times.len()), "{times:?}");
 }
 
 #[test]
 fn a_stand_in_allocates_half_of_the_rate() {
-    let rate = RequestRate::of_thousandths(10_000);
+    let rate = RequestRate::from_thousandths(10_000);
     let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, rate, TurnShare::InPlaceOfAnother, 0..10_000);
     assert!((45..=51).contains(&times.len()), "{}", times.len());
@@ -69,7 +69,7 @@
 /// Without an allocating daemon, all senders together use half of the rate.
 #[test]
 fn senders_without_an_allocating_daemon_use_a_part_each() {
-    let rate = RequestRate::of_thousandths(10_000);
+    let rate = RequestRate::from_thousandths(10_000);
     let mut allocator = TurnAllocator::default();
     let times = granted(&mut allocator, rate, TurnShare::Alone { senders: 20 }, 0..40_000);
     assert!((8..=10).contains(&times.len()), "{}", times.len());
@@ -78,17 +78,18 @@
 #[test]
 fn a_changed_rate_applies_immediately() {
     let mut allocator = TurnAllocator::default();
-    granted(&mut allocator, RequestRate::of_thousandths(100), TurnShare::Whole, 0..10_001);
+    granted(&mut allocator, RequestRate::from_thousandths(100), TurnShare::Whole, 0..10_001);
     let risen =
-        granted(&mut allocator, RequestRate::of_thousandths(10_000), TurnShare::Whole, 10_001..11_001);
+        granted(&mut allocator, RequestRate::from_thousandths(10_000), TurnShare::Whole, 10_001..11_001);
     assert!(risen.len() >= 9, "{}", risen.len());
-    let fallen = granted(&mut allocator, RequestRate::of_thousandths(500), TurnShare::Whole, 11_001..15_001);
+    let fallen =
+        granted(&mut allocator, RequestRate::from_thousandths(500), TurnShare::Whole, 11_001..15_001);
     assert!(fallen.len() <= 3, "{fallen:?}");
 }
 
 #[test]
 fn a_restarted_server_gets_a_new_schedule() {
-    let rate = RequestRate::of_thousandths(1_000);
+    let rate = RequestRate::from_thousandths(1_000);
     let mut allocator = TurnAllocator::default();
     granted(&mut allocator, rate, TurnShare::Whole, 0..5_000);
     let later = ServerStart { started_ms: Some(2), ..server() };
@@ -98,7 +99,7 @@
 /// Retry times are spread out, with a few senders per turn.
 #[test]
 fn retries_of_waiting_senders_are_spread_out() {
-    let rate = RequestRate::of_thousandths(2_500);
+    let rate = RequestRate::from_thousandths(2_500);
     let mut allocator = TurnAllocator::default();
     let replies = (0..330).map(|_| allocator.take(0, &server(), rate, TurnShare::Whole, NORMAL));
     let mut times: Vec<u64> = replies
@@ -115,7 +116,7 @@
 
 #[test]
 fn an_urgent_retry_takes_precedence() {
-    let rate = RequestRate::of_thousandths(1_000);
+    let rate = RequestRate::from_thousandths(1_000);
     let mut allocator = TurnAllocator::default();
     let mut request_turn = |now, rank| allocator.take(now, &server(), rate, TurnShare::Whole, rank);
     assert_eq!(request_turn(0, NORMAL), Turn::NotBefore(1_000));
@@ -130,7 +131,7 @@
 
 #[test]
 fn granted_turns_are_reported_periodically_and_expire() {
-    let rate = RequestRate::of_thousandths(2_000);
+    let rate = RequestRate::from_thousandths(2_000);
     let mut allocator = TurnAllocator::default();
     granted(&mut allocator, rate, TurnShare::Whole, 0..5_000);
     assert_eq!(allocator.claim_telling(5_000, &server()), Some(7));
