--- a/crates/api/src/gateway/limit.rs
+++ b/crates/api/src/gateway/limit.rs
@@ -19,7 +19,7 @@
     }
 
     /// Creates a rate from requests per second, rounded down to a thousandth.
-    pub fn of_requests(per_second: f64) -> RequestRate {
+    pub fn from_per_second(per_second: f64) -> RequestRate {
         RequestRate { thousandths: (per_second * THOUSANDTHS_PER_UNIT).floor() as u64 }
     }
 
--- a/crates/emulator/src/manner.rs
+++ b/crates/emulator/src/manner.rs
@@ -44,7 +44,7 @@
             _ => {
                 let per_second = change.strip_prefix("limit-").and_then(|text| text.parse().ok());
                 let Some(per_second) = per_second else { return false };
-                Manner::NamesLimit(RequestRate::of_requests(per_second))
+                Manner::NamesLimit(RequestRate::from_per_second(per_second))
             }
         };
         self.set(manner);
--- a/crates/routing/src/pushback/named_limit.rs
+++ b/crates/routing/src/pushback/named_limit.rs
@@ -43,5 +43,5 @@
 
 fn read_rate(value: &[u8]) -> Option<RequestRate> {
     let per_second = super::signals::read_decimal(std::str::from_utf8(value).ok()?.trim())?;
-    Some(RequestRate::of_requests(per_second.min(MAX_PER_SECOND)))
+    Some(RequestRate::from_per_second(per_second.min(MAX_PER_SECOND)))
 }
