--- a/crates/api/src/gateway/load.rs
+++ b/crates/api/src/gateway/load.rs
@@ -163,7 +163,7 @@
     }
 
     /// Whether a group in this zone is requested and may run the request.
-    pub fn wants_zone(&self, zone: &str) -> bool {
+    pub fn matches_zone(&self, zone: &str) -> bool {
         let is_asked_for = self.group_zone.as_ref().is_none_or(|asked| asked == zone);
         let is_allowed =
             self.allowed_zones.as_ref().is_none_or(|allowed| allowed.iter().any(|name| name == zone));
--- a/crates/grouping/src/dispatch.rs
+++ b/crates/grouping/src/dispatch.rs
@@ -162,7 +162,7 @@
             let is_open = group.phase == GroupPhase::Open && !tables.is_evacuated(&group.zone);
             let is_endangered =
                 group.members.first().is_some_and(|head| tables.suspicion.has_dangerous_trial(head));
-            !is_endangered && serves && request.wants_zone(&group.zone) && is_open
+            !is_endangered && serves && request.matches_zone(&group.zone) && is_open
         });
         let cold_rate = self.cold_rate(tables, &request.service);
         self.assign_among(now, request, engine, cold_rate, groups, observations)
