--- a/crates/api/src/resource/mod.rs
+++ b/crates/api/src/resource/mod.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether operators may write resources of this kind.
-    pub const fn writable(self) -> bool {
+    pub const fn is_writable(self) -> bool {
         !matches!(self, Kind::Replica | Kind::Daemon | Kind::Order | Kind::Event)
     }
 }
--- a/crates/daemon/src/http/operator.rs
+++ b/crates/daemon/src/http/operator.rs
@@ -155,7 +155,7 @@
 
 fn writable(kind: &str) -> Result<Kind, ApiError> {
     let kind = Kind::from_str(kind)?;
-    if kind.writable() {
+    if kind.is_writable() {
         return Ok(kind);
     }
     Err(ApiError::new(ResultCode::ReadOnlyKind, format!("{kind} is written by dockwood alone")))
