--- a/crates/daemon/src/control/lease_path.rs
+++ b/crates/daemon/src/control/lease_path.rs
@@ -90,7 +90,7 @@
     }
 
     /// Records that `target` does not lead, and the leader that it named, if any.
-    pub fn record_redirect(&mut self, target: SocketAddr, leader: Option<SocketAddr>) {
+    pub fn refused(&mut self, target: SocketAddr, leader: Option<SocketAddr>) {
         if self.asked_directly {
             // If there is no leader, `target` is not avoided: it can grant the lease again once one is elected.
             if leader.is_some() {
@@ -103,7 +103,7 @@
     }
 
     /// Records that `target` did not answer.
-    pub fn record_failure(&mut self, target: SocketAddr) {
+    pub fn failed(&mut self, target: SocketAddr) {
         if self.asked_directly {
             self.avoid(target);
             self.targets.record_failure();
--- a/crates/daemon/src/gateway/operators.rs
+++ b/crates/daemon/src/gateway/operators.rs
@@ -8,7 +8,7 @@
 use crate::dialect::OperatorCall;
 use crate::peer::{read_document, read_revision, submit};
 use crate::shared::Shared;
-use dockwood_api::gateway::{GatewayConfiguration, InstanceReport, faults};
+use dockwood_api::gateway::{GatewayConfiguration, InstanceReport, validate_configuration};
 use dockwood_api::{ApiError, ResultCode};
 use dockwood_state::{CommandBody, GatewayCommand, Tables};
 use hyper::body::Incoming;
@@ -52,7 +52,7 @@
     gateway: &Gateway,
     configuration: GatewayConfiguration,
 ) -> Result<Response<ResponseBody>, ApiError> {
-    let problems = faults(&configuration);
+    let problems = validate_configuration(&configuration);
     if let Some(first) = problems.first() {
         let all: Vec<String> = problems.iter().map(ToString::to_string).collect();
         return Err(ApiError::new(first.code, all.join("; ")));
--- a/crates/daemon/src/gateway/report_forwarding.rs
+++ b/crates/daemon/src/gateway/report_forwarding.rs
@@ -75,7 +75,7 @@
     /// Returns whether a report differs from the last acknowledged one of its server.
     fn is_change(&self, report: &InstanceReport) -> bool {
         let known = lock(&self.known);
-        known.get(&report.id).is_none_or(|last| !report.repeats(last))
+        known.get(&report.id).is_none_or(|last| !report.is_unchanged_since(last))
     }
 
     fn record_acknowledged(&self, report: InstanceReport) {
--- a/crates/emulator/src/pushback.rs
+++ b/crates/emulator/src/pushback.rs
@@ -44,7 +44,7 @@
             _ => {
                 let per_second = change.strip_prefix("limit-").and_then(|text| text.parse().ok());
                 let Some(per_second) = per_second else { return false };
-                PushbackMode::RateLimit(RequestRate::of_requests(per_second))
+                PushbackMode::RateLimit(RequestRate::from_per_second(per_second))
             }
         };
         self.set(mode);
