--- a/crates/dockctl/src/client.rs
+++ b/crates/dockctl/src/client.rs
@@ -1,4 +1,5 @@
-//! Calls of the resource API: each configured address in turn, a change always under the same change id.
+//! HTTP client of the resource API. It tries the configured addresses in turn; all retries of a change carry the same
+//! change id.
 
 use crate::exit::CommandError;
 use backon::{BackoffBuilder, ExponentialBuilder};
@@ -8,21 +9,20 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// How long one daemon may take.
+/// Time limit of a request to one daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
-/// How long a connection may take.
+/// Time limit for connecting to a daemon.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Rounds over all addresses before giving up.
-const ROUNDS: usize = 3;
+/// Retries over all addresses after the first round has failed.
+const MAX_RETRY_ROUNDS: usize = 3;
 
-/// A client of the resource API.
 pub struct Client {
     http: reqwest::Client,
     servers: Vec<String>,
     token: String,
 }
 
-/// One call.
+/// A request to the resource API, independent of the daemon that it is sent to.
 struct Call<'a> {
     method: Method,
     path: &'a str,
@@ -31,11 +31,11 @@
 }
 
 impl Client {
-    /// A client of these daemons.
+    /// Creates a client for these daemons; addresses without a scheme are taken as HTTP.
     pub fn new(servers: Vec<String>, token: String) -> Result<Client, CommandError> {
         if servers.is_empty() {
             return Err(CommandError::Usage(
-                "name at least one daemon by --servers or DOCKWOOD_SERVERS".to_string(),
+                "no daemon addresses; set --servers or DOCKWOOD_SERVERS".to_string(),
             ));
         }
         let http = reqwest::Client::builder().connect_timeout(CONNECT_TIMEOUT).build();
@@ -45,20 +45,20 @@
         Ok(Client { http, servers: servers.into_iter().map(with_scheme).collect(), token })
     }
 
-    /// The configured daemons.
+    /// URLs of the configured daemons.
     pub fn servers(&self) -> &[String] {
         &self.servers
     }
 
-    /// Reads a path below the API's prefix from the first daemon that answers.
+    /// Reads a path below the API prefix from the first daemon that answers.
     pub async fn read(&self, path: &str) -> Result<Value, CommandError> {
         self.call(&Call { method: Method::GET, path, change_id: None, body: None }).await
     }
 
-    /// Reads a path from one daemon.
+    /// Reads a path below the API prefix from one daemon, without retries.
     pub async fn read_from(&self, server: &str, path: &str) -> Result<Value, CommandError> {
         let call = Call { method: Method::GET, path, change_id: None, body: None };
-        self.call_one(server, &call).await?
+        self.send_to(server, &call).await?
     }
 
     /// Reads one resource.
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Reads all resources of a kind that a selector lets pass, page by page.
+    /// Reads all resources of a kind that match a label selector, page by page.
     pub async fn list(&self, kind: Kind, selector: &str) -> Result<Vec<ResourceView>, CommandError> {
         let mut items = Vec::new();
         let mut after = String::new();
         loop {
             let path = format!("{}?continue={after}&labelSelector={selector}", kind.plural());
             let page = self.read(&path).await?;
-            let more: Vec<ResourceView> = serde_json::from_value(page["items"].clone())
+            let page_items: Vec<ResourceView> = serde_json::from_value(page["items"].clone())
                 .map_err(|error| CommandError::Malformed(error.to_string()))?;
-            items.extend(more);
+            items.extend(page_items);
             match page["continue"].as_str() {
                 Some(next) => after = next.to_string(),
                 None => return Ok(items),
@@ -111,7 +111,7 @@
         self.call(&call).await.map(|_| ())
     }
 
-    /// Evacuates a zone, or ends its evacuation. Each try is decided anew by the daemon that takes it.
+    /// Evacuates a zone, or ends its evacuation. There is no change id: the daemon that receives a retry evaluates it anew.
     pub async fn set_evacuation(&self, zone: &str, evacuated: bool) -> Result<(), CommandError> {
         let path = format!("evacuations/{zone}");
         let method = if evacuated { Method::PUT } else { Method::DELETE };
@@ -125,41 +125,41 @@
         self.call(&call).await.map(|_| ())
     }
 
-    /// Opens a watch at the first daemon that answers.
+    /// Opens a watch stream at the first daemon that answers.
     pub async fn watch(&self, kind: Kind, from: Option<u64>) -> Result<reqwest::Response, CommandError> {
         let from = from.map(|revision| format!("&resourceVersion={revision}")).unwrap_or_default();
         let path = format!("{}?watch=true{from}", kind.plural());
-        let mut last = CommandError::Unreachable("no daemon is configured".to_string());
+        let mut last_error = CommandError::Unreachable("no daemon is configured".to_string());
         for server in &self.servers {
             let url = format!("{server}{API_PREFIX}/{path}");
             match self.http.get(url).bearer_auth(&self.token).send().await {
                 Ok(response) if response.status().is_success() => return Ok(response),
-                Ok(response) => return Err(refusal(response).await),
-                Err(error) => last = CommandError::Unreachable(error.to_string()),
+                Ok(response) => return Err(error_from_response(response).await),
+                Err(error) => last_error = CommandError::Unreachable(error.to_string()),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn call(&self, call: &Call<'_>) -> Result<Value, CommandError> {
-        let mut pauses = ExponentialBuilder::default().with_jitter().with_max_times(ROUNDS).build();
+        let mut delays = ExponentialBuilder::default().with_jitter().with_max_times(MAX_RETRY_ROUNDS).build();
         loop {
-            let mut last = CommandError::Unreachable("no daemon is configured".to_string());
+            let mut last_error = CommandError::Unreachable("no daemon is configured".to_string());
             for server in &self.servers {
-                match self.call_one(server, call).await {
+                match self.send_to(server, call).await {
                     Ok(result) => return result,
-                    Err(error) => last = error,
+                    Err(error) => last_error = error,
                 }
             }
-            match pauses.next() {
-                Some(pause) => tokio::time::sleep(pause).await,
-                None => return Err(last),
+            match delays.next() {
+                Some(delay) => tokio::time::sleep(delay).await,
+                None => return Err(last_error),
             }
         }
     }
 
-    /// One try at one daemon; the outer error is worth another daemon, the inner one is final.
-    async fn call_one(
+    /// Sends one request to one daemon. The outer error can be retried at another daemon, the inner one is final.
+    async fn send_to(
         &self,
         server: &str,
         call: &Call<'_>,
@@ -180,8 +180,8 @@
             return Ok(Ok(value));
         }
         let status = response.status();
-        let error = refusal(response).await;
-        // Another daemon may know the leader; a change id makes sending again harmless.
+        let error = error_from_response(response).await;
+        // Another daemon may know the leader. Retrying is safe because the change id makes changes idempotent.
         if status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::GATEWAY_TIMEOUT {
             return Err(error);
         }
@@ -189,7 +189,7 @@
     }
 }
 
-async fn refusal(response: reqwest::Response) -> CommandError {
+async fn error_from_response(response: reqwest::Response) -> CommandError {
     let status = response.status();
     match response.json::<ErrorBody>().await {
         Ok(body) => CommandError::Refused(Box::new(body)),
--- a/crates/dockctl/src/commands/apply.rs
+++ b/crates/dockctl/src/commands/apply.rs
@@ -1,16 +1,17 @@
-//! `apply`: creates or replaces what files declare.
+//! `apply`: creates or replaces the resources that files declare.
 
 use super::{flag, timeout, timeout_argument};
 use crate::client::Client;
 use crate::exit::CommandError;
 use crate::output::print_line;
-use crate::resource_file::{diff, read_resources, written_part};
+use crate::resource_file::{declared_yaml, diff, read_resources};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use dockwood_api::resource::ResourceView;
 use std::time::{Duration, Instant};
 
 const DEFAULT_TIMEOUT_SECONDS: &str = "30";
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which a resource is polled until it is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) fn command() -> Command {
     Command::new("apply")
@@ -21,9 +22,9 @@
                 .short('f')
                 .required(true)
                 .action(ArgAction::Append)
-                .help("File of one or many documents; - is standard input"),
+                .help("File of one or more YAML documents; - is standard input"),
         )
-        .arg(flag("dry-run", "Show what would change, and change nothing"))
+        .arg(flag("dry-run", "Show what would change without changing anything"))
         .arg(
             Arg::new("wait")
                 .long("wait")
@@ -43,7 +44,7 @@
     for resource in &resources {
         let before = client.find(resource.kind, &resource.metadata.name).await?;
         let after = client.put(resource, dry_run).await?;
-        report(before.as_ref(), &after, dry_run);
+        print_change(before.as_ref(), &after, dry_run);
         stored.push(after);
     }
     if matches.contains_id("wait") && !dry_run {
@@ -52,9 +53,9 @@
     Ok(())
 }
 
-fn report(before: Option<&ResourceView>, after: &ResourceView, dry_run: bool) {
+fn print_change(before: Option<&ResourceView>, after: &ResourceView, dry_run: bool) {
     let name = format!("{}/{}", after.kind.name().to_lowercase(), after.metadata.name);
-    let changes = diff(&before.map(written_part).unwrap_or_default(), &written_part(after));
+    let changes = diff(&before.map(declared_yaml).unwrap_or_default(), &declared_yaml(after));
     let verb = match before {
         None => "created",
         Some(_) if changes.is_empty() => "unchanged",
@@ -72,20 +73,20 @@
     stored: &[ResourceView],
     limit: Duration,
 ) -> Result<(), CommandError> {
-    let give_up = Instant::now() + limit;
+    let deadline = Instant::now() + limit;
     for resource in stored {
         loop {
             let current = client.get(resource.kind, &resource.metadata.name).await?;
             if current.status.in_force {
                 break;
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 let name = &resource.metadata.name;
                 let message =
                     format!("{} {name} is committed, but not in force after {limit:?}", resource.kind);
                 return Err(CommandError::NotInForce(message));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     print_line("in force");
--- a/crates/dockctl/src/commands/evacuate.rs
+++ b/crates/dockctl/src/commands/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`: keeps requests away from the servers of a zone.
+//! `evacuate`: stops sending requests to the servers of a zone.
 
 use super::flag;
 use crate::client::Client;
@@ -8,9 +8,9 @@
 
 pub(super) fn command() -> Command {
     Command::new("evacuate")
-        .about("Keeps requests away from the servers of a zone; what runs there finishes")
+        .about("Stops sending requests to the servers of a zone; running requests finish")
         .arg(Arg::new("zone").required(true).help("Name of the zone"))
-        .arg(flag("withdraw", "Let the zone's servers have requests again"))
+        .arg(flag("withdraw", "Send requests to the zone's servers again"))
 }
 
 pub(super) async fn run(client: &Client, matches: &ArgMatches) -> Result<(), CommandError> {
--- a/crates/dockctl/src/commands/mod.rs
+++ b/crates/dockctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands.
+//! Definition and dispatch of the subcommands.
 
 mod apply;
 mod change;
@@ -20,7 +20,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The whole command line.
+/// Builds the command-line parser.
 pub fn command() -> Command {
     Command::new("dockctl")
         .about("Operates a dockwood fleet")
@@ -33,7 +33,7 @@
                 .env("DOCKWOOD_SERVERS")
                 .value_delimiter(',')
                 .global(true)
-                .help("Addresses of daemons, tried in turn"),
+                .help("Addresses of daemons; tried in turn"),
         )
         .arg(
             Arg::new("token")
@@ -75,12 +75,12 @@
         .arg(Arg::new("shell").required(true).value_parser(value_parser!(Shell)))
 }
 
-/// `KIND`, in any form that names one.
+/// The `KIND` argument; parsed by `Kind::from_str`.
 fn kind_argument() -> Arg {
     Arg::new("kind").required(true).help("Kind: models, deployments, servers, replicas, daemons, …")
 }
 
-/// `KIND/NAME`.
+/// The `KIND/NAME` argument.
 fn reference_argument() -> Arg {
     Arg::new("reference").required(true).help("KIND/NAME, such as replica/drafts-1")
 }
@@ -113,7 +113,7 @@
 }
 
 fn parse_reference(text: &str) -> Result<(Kind, String), CommandError> {
-    let usage = || CommandError::Usage(format!("'{text}' is not of the form KIND/NAME"));
+    let usage = || CommandError::Usage(format!("invalid reference '{text}'; expected KIND/NAME"));
     let (kind, name) = text.split_once('/').ok_or_else(usage)?;
     let kind = Kind::from_str(kind).map_err(|error| CommandError::Usage(error.to_string()))?;
     if name.is_empty() { Err(usage()) } else { Ok((kind, name.to_string())) }
@@ -133,10 +133,10 @@
     Client::new(servers, token)
 }
 
-/// Runs the chosen subcommand.
+/// Runs the subcommand that the arguments select.
 pub async fn dispatch(matches: &ArgMatches) -> Result<(), CommandError> {
     let Some((name, matches)) = matches.subcommand() else {
-        return Err(CommandError::Usage("no subcommand".to_string()));
+        return Err(CommandError::Usage("missing subcommand".to_string()));
     };
     if name == "completion" {
         if let Some(shell) = matches.get_one::<Shell>("shell") {
@@ -160,6 +160,6 @@
         "status" => status::run(&client, matches).await,
         "timeline" => events::timeline(&client, matches).await,
         "explain" => events::explain(&client, matches).await,
-        _ => Err(CommandError::Usage(format!("no subcommand '{name}'"))),
+        _ => Err(CommandError::Usage(format!("unknown subcommand '{name}'"))),
     }
 }
--- a/crates/dockctl/src/commands/quarantine.rs
+++ b/crates/dockctl/src/commands/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: requests under which servers end.
+//! `quarantine`: shows and releases requests that are suspected of crashing servers.
 
 use super::format;
 use crate::client::Client;
@@ -11,28 +11,30 @@
     let fingerprint = || {
         Arg::new("fingerprint")
             .required(true)
-            .help("Fingerprint, as the list and the lines on requests tell it")
+            .help("Fingerprint of the request, as shown by `quarantine list` and in request log lines")
     };
     Command::new("quarantine")
-        .about("Shows and releases requests that are sent to no server, as servers ended under them")
+        .about(
+            "Shows and releases requests that are no longer sent because servers crashed while running them",
+        )
         .subcommand_required(true)
         .subcommands([
             Command::new("list").about("Lists requests under quarantine or on probation after it"),
             Command::new("explain")
-                .about("Tells how a request stands, and which servers ended under it")
+                .about("Shows the standing of a request, and which servers crashed while running it")
                 .arg(fingerprint()),
-            Command::new("release").about("Lets a request be sent again").arg(fingerprint()),
+            Command::new("release").about("Releases a request from quarantine").arg(fingerprint()),
         ])
 }
 
 pub(super) async fn run(client: &Client, matches: &ArgMatches) -> Result<(), CommandError> {
-    let Some((name, chosen)) = matches.subcommand() else {
-        return Err(CommandError::Usage("no subcommand of quarantine".to_string()));
+    let Some((name, arguments)) = matches.subcommand() else {
+        return Err(CommandError::Usage("missing subcommand of quarantine".to_string()));
     };
     match name {
         "list" => list(client, matches).await,
-        "explain" => explain(client, matches, fingerprint(chosen)).await,
-        _ => release(client, fingerprint(chosen)).await,
+        "explain" => explain(client, matches, fingerprint(arguments)).await,
+        _ => release(client, fingerprint(arguments)).await,
     }
 }
 
@@ -45,14 +47,14 @@
 }
 
 async fn list(client: &Client, matches: &ArgMatches) -> Result<(), CommandError> {
-    let found = client.read("quarantine").await?;
+    let response = client.read("quarantine").await?;
     if format(matches) != Format::Table {
-        return print_value(format(matches), &found);
+        return print_value(format(matches), &response);
     }
     let mut rows = table(&["fingerprint", "standing", "tenant", "route", "offences", "servers", "until"]);
-    for row in found["items"].as_array().into_iter().flatten() {
+    for row in response["items"].as_array().into_iter().flatten() {
         let evidence = row["evidence"].as_array().map(Vec::as_slice).unwrap_or_default();
-        let servers: Vec<&str> = evidence.iter().map(|one| text(&one["instance"])).collect();
+        let servers: Vec<&str> = evidence.iter().map(|server_end| text(&server_end["instance"])).collect();
         rows.add_row([
             text(&row["fingerprint"]).to_string(),
             text(&row["standing"]).to_string(),
@@ -63,24 +65,24 @@
             row["untilMs"].to_string(),
         ]);
     }
-    print_line(format!("suspected, not under quarantine: {}\n{rows}", found["suspects"]));
+    print_line(format!("suspected, not under quarantine: {}\n{rows}", response["suspects"]));
     Ok(())
 }
 
 async fn explain(client: &Client, matches: &ArgMatches, fingerprint: &str) -> Result<(), CommandError> {
-    let found = client.read(&format!("quarantine/{fingerprint}")).await?;
+    let response = client.read(&format!("quarantine/{fingerprint}")).await?;
     if format(matches) != Format::Table {
-        return print_value(format(matches), &found);
+        return print_value(format(matches), &response);
     }
-    print_line(format!("{fingerprint} is {}", text(&found["standing"])));
-    for one in found["evidence"].as_array().into_iter().flatten() {
+    print_line(format!("{fingerprint} is {}", text(&response["standing"])));
+    for server_end in response["evidence"].as_array().into_iter().flatten() {
         print_line(format!(
             "{} in {} ended at {} while it had {}, told by {}",
-            text(&one["instance"]),
-            text(&one["zone"]),
-            one["atMs"],
-            text(&one["request"]),
-            text(&one["toldBy"])
+            text(&server_end["instance"]),
+            text(&server_end["zone"]),
+            server_end["atMs"],
+            text(&server_end["request"]),
+            text(&server_end["toldBy"])
         ));
     }
     Ok(())
--- a/crates/dockctl/src/commands/show.rs
+++ b/crates/dockctl/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `get`, `describe` and `watch`.
+//! `get`, `describe` and `watch`: print resources and their changes.
 
 use super::{format, kind, kind_argument, reference, reference_argument};
 use crate::client::Client;
@@ -8,25 +8,25 @@
 
 pub(super) fn get_command() -> Command {
     Command::new("get")
-        .about("Shows resources of a kind, or one")
+        .about("Shows the resources of a kind, or one of them")
         .arg(kind_argument())
         .arg(Arg::new("name").help("Name of one resource"))
         .arg(Arg::new("selector").long("selector").short('l').help("Labels: key=value, key!=value or key"))
 }
 
 pub(super) fn describe_command() -> Command {
-    Command::new("describe").about("Shows all of one resource").arg(reference_argument())
+    Command::new("describe").about("Shows all fields of one resource").arg(reference_argument())
 }
 
 pub(super) fn watch_command() -> Command {
     Command::new("watch")
-        .about("Shows changes of a kind as they happen, one JSON object a line")
+        .about("Streams changes of a kind, one JSON object per line")
         .arg(kind_argument())
         .arg(
             Arg::new("from")
                 .long("from")
                 .value_parser(value_parser!(u64))
-                .help("resourceVersion to begin after; now if absent"),
+                .help("resourceVersion to start after; default: the current one"),
         )
 }
 
--- a/crates/dockctl/src/commands/status.rs
+++ b/crates/dockctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the fleet on one screen.
+//! `status`: a summary of the state of the fleet.
 
 use super::format;
 use crate::client::Client;
@@ -8,11 +8,11 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A voter that has not answered for this long is shown as silent: several of the leader's heartbeats.
-const SILENT_MS: u64 = 1_000;
+/// A voter that has not answered for this long is shown as silent. It spans several heartbeat intervals of the leader.
+const SILENT_AFTER_MS: u64 = 1_000;
 
 pub(super) fn command() -> Command {
-    Command::new("status").about("Shows replicas, stranded machines, daemons and control on one screen")
+    Command::new("status").about("Shows a summary of control, stranded machines, replicas and daemons")
 }
 
 pub(super) async fn run(client: &Client, matches: &ArgMatches) -> Result<(), CommandError> {
@@ -38,12 +38,12 @@
     }
 }
 
-fn joined(values: &[Value]) -> String {
+fn join_or_none(values: &[Value]) -> String {
     let names: Vec<String> = values.iter().map(text).collect();
     if names.is_empty() { "none".to_string() } else { names.join(" ") }
 }
 
-/// How many voters each zone holds, and those that don't answer.
+/// Formats the number of voters in each zone, and the voters that do not answer.
 fn voters_by_zone(voters: &[Value]) -> String {
     let mut by_zone: BTreeMap<String, usize> = BTreeMap::new();
     for voter in voters {
@@ -51,24 +51,24 @@
         *by_zone.entry(zone.to_string()).or_default() += 1;
     }
     let zones: Vec<String> = by_zone.iter().map(|(zone, count)| format!("{count} in {zone}")).collect();
-    let is_silent = |voter: &&Value| voter["silentMs"].as_u64().unwrap_or(0) >= SILENT_MS;
+    let is_silent = |voter: &&Value| voter["silentMs"].as_u64().unwrap_or(0) >= SILENT_AFTER_MS;
     let silent: Vec<Value> = voters.iter().filter(is_silent).map(|voter| voter["address"].clone()).collect();
-    format!("{} ({}), silent: {}", voters.len(), zones.join(", "), joined(&silent))
+    format!("{} ({}), silent: {}", voters.len(), zones.join(", "), join_or_none(&silent))
 }
 
 fn print_control(status: &Value) {
     print_line(format!("control: leader {} in term {}", text(&status["leader"]), status["term"]));
     print_line(format!("revision: {}, in force {}", status["revision"], status["inForceRevision"]));
     print_line(format!("voters: {}", voters_by_zone(items(status, "voters"))));
-    print_line(format!("daemons behind: {}", joined(items(status, "behind"))));
-    print_line(format!("stranded machines: {}", joined(items(status, "strandedMachines"))));
-    print_line(format!("evacuated zones: {}", joined(items(status, "evacuatedZones"))));
-    for missing in items(status, "shortfalls") {
+    print_line(format!("daemons behind: {}", join_or_none(items(status, "behind"))));
+    print_line(format!("stranded machines: {}", join_or_none(items(status, "strandedMachines"))));
+    print_line(format!("evacuated zones: {}", join_or_none(items(status, "evacuatedZones"))));
+    for shortfall in items(status, "shortfalls") {
         println!(
             "deployment {} lacks {}: {}",
-            text(&missing["deployment"]),
-            missing["missing"],
-            text(&missing["why"])
+            text(&shortfall["deployment"]),
+            shortfall["missing"],
+            text(&shortfall["why"])
         );
     }
 }
@@ -84,7 +84,7 @@
             text(&replica["epoch"]),
             text(&replica["domain"]),
             text(&replica["version"]),
-            joined(items(replica, "unwellMachines")),
+            join_or_none(items(replica, "unwellMachines")),
             text(&replica["reason"]),
         ]);
     }
--- a/crates/dockctl/src/commands/trace.rs
+++ b/crates/dockctl/src/commands/trace.rs
@@ -1,7 +1,7 @@
-//! `trace`: what the logs of all daemons tell of one request.
+//! `trace`: reconstructs the history of one request from the logs of all daemons.
 
 use crate::exit::CommandError;
-use crate::request_trace::account;
+use crate::request_trace::trace_request;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use dockwood_log_lines::{Line, parse};
 use std::fs::File;
@@ -9,12 +9,12 @@
 
 pub(super) fn command() -> Command {
     Command::new("trace")
-        .about("Tells from the logs what became of one request, and why")
+        .about("Reconstructs from the logs what happened to one request")
         .arg(Arg::new("request").required(true).help("The caller's attempt id"))
         .arg(
             Arg::new("logs")
                 .action(ArgAction::Append)
-                .help("Log files of any daemons; standard input if none"),
+                .help("Log files of one or more daemons; default: standard input"),
         )
 }
 
@@ -23,23 +23,25 @@
     let files: Vec<&String> = matches.get_many("logs").map(Iterator::collect).unwrap_or_default();
     let mut lines = Vec::new();
     if files.is_empty() {
-        read(stdin().lock(), &mut lines)?;
+        read_lines(stdin().lock(), &mut lines)?;
     }
     for file in files {
-        let opened = File::open(file).map_err(|error| CommandError::Usage(format!("{file}: {error}")))?;
-        read(BufReader::new(opened), &mut lines)?;
+        let reader = File::open(file).map_err(|error| CommandError::Usage(format!("{file}: {error}")))?;
+        read_lines(BufReader::new(reader), &mut lines)?;
     }
-    let told = account(&lines, id);
-    if told.is_empty() {
-        let message =
-            format!("no line on request '{id}' among {} lines; it may have been held back", lines.len());
+    let trace = trace_request(&lines, id);
+    if trace.is_empty() {
+        let message = format!(
+            "no log line for request '{id}' among {} lines; it may have been suppressed by the log rate limit",
+            lines.len()
+        );
         return Err(CommandError::Usage(message));
     }
-    told.iter().for_each(|line| println!("{line}"));
+    trace.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
-fn read(reader: impl BufRead, lines: &mut Vec<Line>) -> Result<(), CommandError> {
+fn read_lines(reader: impl BufRead, lines: &mut Vec<Line>) -> Result<(), CommandError> {
     for text in reader.lines() {
         lines.extend(parse(&text?));
     }
--- a/crates/dockctl/src/exit.rs
+++ b/crates/dockctl/src/exit.rs
@@ -1,4 +1,4 @@
-//! Errors and exit codes; docs/OPERATING.md has the table.
+//! Errors and their exit codes, as listed in docs/OPERATING.md.
 
 use dockwood_api::error::ErrorBody;
 use quick_error::quick_error;
@@ -7,11 +7,11 @@
     /// Why a command failed.
     #[derive(Debug)]
     pub enum CommandError {
-        /// A file, an argument or a resource can't be used.
+        /// A file, an argument or a resource is invalid.
         Usage(message: String) {
             display("{}", message)
         }
-        /// The API refused.
+        /// The API rejected the request.
         Refused(body: Box<ErrorBody>) {
             display("{} {}: {}", body.error.code, body.error.name, body.error.message)
         }
@@ -19,15 +19,15 @@
         Unreachable(message: String) {
             display("no daemon answered: {}", message)
         }
-        /// The change is committed and was not in force in time.
+        /// The change was committed, but did not take effect within the time limit.
         NotInForce(message: String) {
             display("{}", message)
         }
-        /// What came back can't be read.
+        /// The response can't be parsed.
         Malformed(message: String) {
-            display("the answer can't be read: {}", message)
+            display("invalid response: {}", message)
         }
-        /// A file can't be read, or output can't be written.
+        /// Reading a file or writing output failed.
         Io(error: std::io::Error) {
             display("{}", error)
             from()
@@ -35,10 +35,11 @@
     }
 }
 
+/// Result code of a change whose resource version is outdated.
 const CONFLICT: u16 = 4005;
 
 impl CommandError {
-    /// The process's exit code.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Io(_) | CommandError::Malformed(_) => 1,
--- a/crates/dockctl/src/main.rs
+++ b/crates/dockctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `dockctl`: the operators' command line. It drives the resource API and nothing else.
+//! `dockctl`: the operators' command-line client. It uses only the resource API.
 
 mod client;
 mod commands;
--- a/crates/dockctl/src/output.rs
+++ b/crates/dockctl/src/output.rs
@@ -1,11 +1,12 @@
-//! Tables, YAML and JSON.
+//! Output as tables, YAML and JSON.
 
 use crate::exit::CommandError;
 use comfy_table::{ContentArrangement, Table, presets};
 use dockwood_api::resource::{Kind, ResourceView};
 use serde::Serialize;
 
-/// Prints a line. A reader that has gone away, as `head` does, has seen enough: the process ends in silence.
+/// Prints a line to standard output. If the reader has closed the pipe, as `head` does, the process exits without an
+/// error message.
 pub fn print_line(line: impl std::fmt::Display) {
     use std::io::Write;
     if writeln!(std::io::stdout(), "{line}").is_err() {
@@ -16,11 +17,9 @@
 /// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Columns for people.
+    /// A table with aligned columns.
     Table,
-    /// YAML.
     Yaml,
-    /// JSON.
     Json,
 }
 
@@ -44,15 +43,16 @@
     Ok(())
 }
 
-/// Prints resources in a format.
+/// Prints resources in an output format.
 pub fn print_resources(format: Format, kind: Kind, items: &[ResourceView]) -> Result<(), CommandError> {
     if format != Format::Table {
         return print_value(format, &items);
     }
-    let mut rows = table(&["name", "version", "generation", "in force", "condition", detail_title(kind)]);
+    let mut rows = table(&["name", "version", "generation", "in force", "condition", detail_column(kind)]);
     for item in items {
         let condition = item.status.conditions.first();
-        let condition = condition.map(|one| format!("{}={} {}", one.aspect, one.status, one.reason));
+        let condition = condition
+            .map(|condition| format!("{}={} {}", condition.aspect, condition.status, condition.reason));
         rows.add_row([
             item.metadata.name.clone(),
             item.metadata.resource_version.to_string(),
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-fn detail_title(kind: Kind) -> &'static str {
+fn detail_column(kind: Kind) -> &'static str {
     match kind {
         Kind::Replica => "members",
         Kind::Server => "replica",
--- a/crates/dockctl/src/request_trace_tests.rs
+++ b/crates/dockctl/src/request_trace_tests.rs
@@ -1,6 +1,6 @@
-//! What the logs tell of one request.
+//! Tests of request traces.
 
-use crate::request_trace::account;
+use crate::request_trace::trace_request;
 use dockwood_log_lines::{Line, parse};
 
 fn lines() -> Vec<Line> {
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn a_cut_stream_is_traced_to_the_member_that_fell_silent() {
-    assert_eq!(lines().len(), 7, "what is no line of ours is passed over");
+fn an_aborted_stream_is_traced_to_the_silent_member() {
+    assert_eq!(lines().len(), 7, "lines of other programs are skipped");
     let expected = [
         "8000 e1: arrives for large, 1200 tokens of prompt; 8000 ms allowed, configuration 4",
         "8001 e1: sent to a of g7, which ended: Abandoned",
@@ -29,50 +29,50 @@
         "9000 0 groups of large are open by the log",
         "9000 e1: ends with 3001 Interrupted after 1000 ms, 0 ms of them waiting; lease left 2100 ms, longest pause 40 ms, places known 30 ms ago (2 lines of this result held back before)",
     ];
-    assert_eq!(account(&lines(), "r-1"), expected);
+    assert_eq!(trace_request(&lines(), "r-1"), expected);
 }
 
-/// From the id of a refused request to the servers that asked for rest, and who chose them all the same.
+/// The trace of a refused request names the servers that asked for a pause, and which component chose them.
 #[test]
-fn a_refused_request_is_traced_to_the_servers_that_asked_for_rest() {
+fn a_refused_request_is_traced_to_the_servers_that_asked_for_a_pause() {
     let text = r#"{"schema":1,"atMs":9016,"daemon":"e1","kind":"request","request":"r-2","code":2020,"codeName":"Overloaded","model":"large","configuration":4,"leaseLeftMs":2100,"placesAgeMs":30,"tookMs":16,"allowedMs":8000,"waitedMs":9,"promptTokens":120,"sends":[{"instance":"a","epoch":7,"atMs":3,"chosenBy":"dispatcher","ended":"SaidNotRun","status":503,"retryAfterMs":3000},{"instance":"c","epoch":8,"atMs":9,"chosenBy":"entry","ended":"SaidNotRun","status":503,"leaving":true,"limitPerSecond":2.5}],"heldBack":0}"#;
     let lines: Vec<Line> = parse(text).into_iter().collect();
-    let told = account(&lines, "r-2");
+    let trace = trace_request(&lines, "r-2");
     assert_eq!(
-        told[1],
+        trace[1],
         "9003 e1: sent to a of g7 chosen by dispatcher, which ended: SaidNotRun; answered 503, asked for 3000 ms of rest"
     );
     assert_eq!(
-        told[2],
+        trace[2],
         "9009 e1: sent to c of g8 chosen by entry, which ended: SaidNotRun; answered 503, said that it leaves, takes 2.5 requests a second"
     );
 }
 
-/// From the id of a refused try to the servers that ended under the tries before it, minutes ago.
+/// The trace of a refused attempt names the servers that crashed during earlier attempts, minutes before.
 #[test]
-fn a_request_under_quarantine_is_traced_to_the_servers_that_ended_under_it() {
-    let print = "00112233445566778899aabbccddeeff";
+fn a_quarantined_request_is_traced_to_the_servers_that_crashed_while_running_it() {
+    let fingerprint = "00112233445566778899aabbccddeeff";
     let texts = [
-        format!(r#"{{"schema":1,"atMs":1000,"daemon":"e1","kind":"suspect","step":"suspected","fingerprint":"{print}","request":"r-1","instance":"a","zone":"z","servers":[],"heldBack":0}}"#),
-        format!(r#"{{"schema":1,"atMs":1010,"daemon":"m1","kind":"event","subject":"instance/a","reason":"EndedUnderRequests","message":"in zone z, told by e1; suspects: {print} as r-1","code":1000,"codeName":"Ok"}}"#),
-        format!(r#"{{"schema":1,"atMs":1020,"daemon":"m1","kind":"event","subject":"request/{print}","reason":"Quarantined","message":"ended under it: a b c","code":3009,"codeName":"RequestQuarantined"}}"#),
+        format!(r#"{{"schema":1,"atMs":1000,"daemon":"e1","kind":"suspect","step":"suspected","fingerprint":"{fingerprint}","request":"r-1","instance":"a","zone":"z","servers":[],"heldBack":0}}"#),
+        format!(r#"{{"schema":1,"atMs":1010,"daemon":"m1","kind":"event","subject":"instance/a","reason":"EndedUnderRequests","message":"in zone z, told by e1; suspects: {fingerprint} as r-1","code":1000,"codeName":"Ok"}}"#),
+        format!(r#"{{"schema":1,"atMs":1020,"daemon":"m1","kind":"event","subject":"request/{fingerprint}","reason":"Quarantined","message":"ended under it: a b c","code":3009,"codeName":"RequestQuarantined"}}"#),
         r#"{"schema":1,"atMs":1030,"daemon":"m1","kind":"event","subject":"request/ffff","reason":"Quarantined","message":"another","code":3009,"codeName":"RequestQuarantined"}"#.to_string(),
-        format!(r#"{{"schema":1,"atMs":90000,"daemon":"e2","kind":"request","request":"r-9","code":3009,"codeName":"RequestQuarantined","fingerprint":"{print}","configuration":4,"leaseLeftMs":2100,"tookMs":1,"allowedMs":8000,"waitedMs":0,"sends":[],"heldBack":0}}"#),
+        format!(r#"{{"schema":1,"atMs":90000,"daemon":"e2","kind":"request","request":"r-9","code":3009,"codeName":"RequestQuarantined","fingerprint":"{fingerprint}","configuration":4,"leaseLeftMs":2100,"tookMs":1,"allowedMs":8000,"waitedMs":0,"sends":[],"heldBack":0}}"#),
     ];
     let lines: Vec<Line> = texts.iter().filter_map(|text| parse(text).ok()).collect();
     assert_eq!(lines.len(), 5);
-    let told = account(&lines, "r-9");
-    assert_eq!(told[0], format!("1000 e1: {print} suspected as r-1 at a"));
+    let trace = trace_request(&lines, "r-9");
+    assert_eq!(trace[0], format!("1000 e1: {fingerprint} suspected as r-1 at a"));
     assert_eq!(
-        told[1],
-        format!("1010 instance/a EndedUnderRequests: in zone z, told by e1; suspects: {print} as r-1")
+        trace[1],
+        format!("1010 instance/a EndedUnderRequests: in zone z, told by e1; suspects: {fingerprint} as r-1")
     );
-    assert_eq!(told[2], format!("1020 request/{print} Quarantined: ended under it: a b c"));
-    assert!(told[3].starts_with("89999 e2: arrives, fingerprint"), "{told:?}");
-    assert_eq!(told.len(), 5, "{told:?}");
+    assert_eq!(trace[2], format!("1020 request/{fingerprint} Quarantined: ended under it: a b c"));
+    assert!(trace[3].starts_with("89999 e2: arrives, fingerprint"), "{trace:?}");
+    assert_eq!(trace.len(), 5, "{trace:?}");
 }
 
 #[test]
-fn a_request_that_no_line_names_has_no_account() {
-    assert!(account(&lines(), "r-2").is_empty());
+fn a_request_that_no_line_names_has_no_trace() {
+    assert!(trace_request(&lines(), "r-2").is_empty());
 }
