--- a/crates/api/src/peer/admission.rs
+++ b/crates/api/src/peer/admission.rs
@@ -111,12 +111,12 @@
     /// Name of the entry that processes or processed it.
     pub entry: String,
     /// The complete response, once it is done.
-    pub answer: Option<KeptAnswer>,
+    pub answer: Option<StoredAnswer>,
 }
 
 /// A stored complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
--- a/crates/api/src/peer/mod.rs
+++ b/crates/api/src/peer/mod.rs
@@ -6,7 +6,7 @@
 mod service;
 
 pub use admission::{
-    AcquireReply, AcquireRequest, Grant, KeptAnswer, Refusal, ReplicaEvidence, RequestRecord, SlotReturn,
+    AcquireReply, AcquireRequest, Grant, Refusal, ReplicaEvidence, RequestRecord, SlotReturn, StoredAnswer,
 };
 pub use codec::{MAX_FRAME_BYTES, PeerVolume, PostcardCodec};
 pub use control::{
--- a/crates/daemon/src/http/caller.rs
+++ b/crates/daemon/src/http/caller.rs
@@ -13,7 +13,7 @@
 };
 use dockwood_api::digest::content_digest;
 use dockwood_api::gateway::{Fingerprint, RequestIdentity};
-use dockwood_api::peer::KeptAnswer;
+use dockwood_api::peer::StoredAnswer;
 use dockwood_api::{ApiError, ResultCode};
 use poem::http::StatusCode;
 use poem::web::{Data, Json, Path};
@@ -217,7 +217,7 @@
     Response::builder().content_type("text/event-stream").header("cache-control", "no-cache").body(body)
 }
 
-fn kept_response(kept: KeptAnswer) -> Response {
+fn kept_response(kept: StoredAnswer) -> Response {
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     Response::builder().status(status).content_type(&kept.content_type).body(kept.body)
 }
--- a/crates/daemon/src/http/completion.rs
+++ b/crates/daemon/src/http/completion.rs
@@ -6,7 +6,7 @@
     ChatChoice, ChatChunk, ChatCompletion, ChatMessage, ChatUsage, ChunkChoice, ChunkDelta,
 };
 use dockwood_api::error::ErrorBody;
-use dockwood_api::peer::KeptAnswer;
+use dockwood_api::peer::StoredAnswer;
 use serde::Serialize;
 
 const MILLISECONDS_PER_SECOND: u64 = 1_000;
@@ -94,7 +94,7 @@
     }
 
     /// A kept completion as a stream, all text in one event.
-    pub fn replay(&self, kept: &KeptAnswer) -> Vec<u8> {
+    pub fn replay(&self, kept: &StoredAnswer) -> Vec<u8> {
         let Ok(whole) = serde_json::from_slice::<ChatCompletion>(&kept.body) else { return Vec::new() };
         let mut bytes = self.begin();
         for choice in whole.choices {
@@ -106,9 +106,9 @@
 }
 
 /// The answer to keep of a finished job.
-pub fn kept_answer(job: &ChatJob, text: &str, finish: &Finish) -> KeptAnswer {
+pub fn kept_answer(job: &ChatJob, text: &str, finish: &Finish) -> StoredAnswer {
     let whole = CompletionWriter::new(&job.id, &job.model).whole(text, finish);
-    KeptAnswer {
+    StoredAnswer {
         status: 200,
         content_type: JSON.to_string(),
         body: serde_json::to_vec(&whole).unwrap_or_default(),
--- a/crates/daemon/src/traffic/chat/mod.rs
+++ b/crates/daemon/src/traffic/chat/mod.rs
@@ -15,7 +15,7 @@
 use crate::pushback::Unavailable;
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::Fingerprint;
-use dockwood_api::peer::KeptAnswer;
+use dockwood_api::peer::StoredAnswer;
 use dockwood_routing::Millis;
 use dockwood_state::ClaimKey;
 use run::Run;
@@ -116,7 +116,7 @@
     /// The answer is whole.
     Finished(Finish),
     /// The answer was kept from an earlier run of the same request.
-    Kept(KeptAnswer),
+    Kept(StoredAnswer),
     /// There will be no whole answer.
     Failed(Failure),
 }
@@ -160,7 +160,7 @@
 }
 
 /// Builds the body that is kept from the whole text.
-pub type KeepBody = fn(&ChatJob, &str, &Finish) -> KeptAnswer;
+pub type KeepBody = fn(&ChatJob, &str, &Finish) -> StoredAnswer;
 
 fn unknown() -> Failure {
     Failure::new(ResultCode::OutcomeUnknown, "the engine that had the request can't tell what became of it")
--- a/crates/daemon/src/traffic/chat/outcome.rs
+++ b/crates/daemon/src/traffic/chat/outcome.rs
@@ -5,7 +5,7 @@
 use crate::traffic::records::{find, keep, keep_before_dispatch};
 use dockwood_api::ResultCode;
 use dockwood_api::caller::Outcome;
-use dockwood_api::peer::{KeptAnswer, RequestRecord};
+use dockwood_api::peer::{RequestRecord, StoredAnswer};
 use dockwood_state::{ClaimRequest, ClaimVerdict};
 use rand::RngExt;
 use std::time::Duration;
@@ -109,7 +109,7 @@
         &self,
         outcome: Outcome,
         code: Option<ResultCode>,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
     ) -> RequestRecord {
         RequestRecord {
             key: self.job.record_key(),
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -3,7 +3,7 @@
 use dockwood_api::ResultCode;
 use dockwood_api::caller::Outcome;
 use dockwood_api::event::Subject;
-use dockwood_api::peer::{KeptAnswer, RequestRecord};
+use dockwood_api::peer::{RequestRecord, StoredAnswer};
 use dockwood_api::resource::{Kind, ResourceKey};
 use dockwood_daemon::control::{TurnClock, Work};
 use dockwood_daemon::metrics::Metrics;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 fn record(key: &str, outcome: Outcome, bytes: usize) -> RequestRecord {
-    let answer = KeptAnswer { status: 200, content_type: String::new(), body: vec![0; bytes] };
+    let answer = StoredAnswer { status: 200, content_type: String::new(), body: vec![0; bytes] };
     RequestRecord {
         key: key.to_string(),
         content_digest: 1,
