--- a/crates/daemon/src/http/completion.rs
+++ b/crates/daemon/src/http/completion.rs
@@ -6,7 +6,7 @@
     ChatChoice, ChatChunk, ChatCompletion, ChatMessage, ChatUsage, ChunkChoice, ChunkDelta,
 };
 use dockwood_api::error::ErrorBody;
-use dockwood_api::peer::KeptAnswer;
+use dockwood_api::peer::StoredAnswer;
 use serde::Serialize;
 
 const MILLISECONDS_PER_SECOND: u64 = 1_000;
@@ -94,7 +94,7 @@
     }
 
     /// Returns a stored completion as a stream, with the whole text in one event.
-    pub fn replay(&self, kept: &KeptAnswer) -> Vec<u8> {
+    pub fn replay(&self, kept: &StoredAnswer) -> Vec<u8> {
         let Ok(completion) = serde_json::from_slice::<ChatCompletion>(&kept.body) else { return Vec::new() };
         let mut bytes = self.begin();
         for choice in completion.choices {
@@ -106,9 +106,9 @@
 }
 
 /// Encodes the answer of a completed request for storage.
-pub fn encode_answer(job: &ChatJob, text: &str, stats: &CompletionStats) -> KeptAnswer {
+pub fn encode_answer(job: &ChatJob, text: &str, stats: &CompletionStats) -> StoredAnswer {
     let completion = CompletionEncoder::new(&job.id, &job.model).complete(text, stats);
-    KeptAnswer {
+    StoredAnswer {
         status: 200,
         content_type: JSON_CONTENT_TYPE.to_string(),
         body: serde_json::to_vec(&completion).unwrap_or_default(),
--- a/crates/daemon/src/traffic/chat/mod.rs
+++ b/crates/daemon/src/traffic/chat/mod.rs
@@ -15,7 +15,7 @@
 use crate::pushback::Unavailable;
 use dockwood_api::ResultCode;
 use dockwood_api::gateway::Fingerprint;
-use dockwood_api::peer::KeptAnswer;
+use dockwood_api::peer::StoredAnswer;
 use dockwood_routing::Millis;
 use dockwood_state::ClaimKey;
 use run::ChatRun;
@@ -118,7 +118,7 @@
     /// The answer is complete.
     Finished(CompletionStats),
     /// The stored answer of an earlier run of the same request.
-    Kept(KeptAnswer),
+    Kept(StoredAnswer),
     /// There is no complete answer.
     Failed(Failure),
 }
@@ -162,7 +162,7 @@
 }
 
 /// Encodes a complete answer for storage.
-pub type AnswerEncoder = fn(&ChatJob, &str, &CompletionStats) -> KeptAnswer;
+pub type AnswerEncoder = fn(&ChatJob, &str, &CompletionStats) -> StoredAnswer;
 
 fn outcome_unknown() -> Failure {
     Failure::new(ResultCode::OutcomeUnknown, "the engine that had the request can't tell what became of it")
--- a/crates/daemon/src/traffic/chat/outcome.rs
+++ b/crates/daemon/src/traffic/chat/outcome.rs
@@ -5,7 +5,7 @@
 use crate::traffic::records::{find_record, store_at_holders, store_before_dispatch};
 use dockwood_api::ResultCode;
 use dockwood_api::caller::Outcome;
-use dockwood_api::peer::{KeptAnswer, RequestRecord};
+use dockwood_api::peer::{RequestRecord, StoredAnswer};
 use dockwood_state::{ClaimRequest, ClaimVerdict};
 use rand::RngExt;
 use std::time::Duration;
@@ -115,7 +115,7 @@
         &self,
         outcome: Outcome,
         code: Option<ResultCode>,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
     ) -> RequestRecord {
         RequestRecord {
             key: self.job.record_key(),
