--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,7 +1,7 @@
-//! A caller as the brief describes one: asks for addresses, keeps the answer for a while, connects there itself,
-//! and sends again under the same id when it was told that nothing was run.
+//! Reference caller: requests entry addresses, caches them for their lifetime, connects to them directly, and
+//! retries with the same request id when it is told that nothing was run.
 
-use crate::caller_record::{CallerRecord, CallerResult, judge_text};
+use crate::caller_record::{CallerRecord, CallerResult, classify_answer};
 use crate::topology::{TenantPlan, Topology};
 use crate::trace::{RequestKind, TraceRequest};
 use dockwood_api::ResultCode;
@@ -16,38 +16,38 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Pause before a request is sent again, unless the answer names one.
-const RESEND_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause that a caller takes on an answer's word.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
-/// How long after its deadline a caller still waits for a final word.
-const GRACE: Duration = Duration::from_secs(5);
-/// How long a connection may take.
+/// Delay before a retry, unless the response specifies one.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Upper limit for a retry delay specified by a response.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// How long after the deadline a caller still waits for a final outcome.
+const DEADLINE_GRACE: Duration = Duration::from_secs(5);
+/// Time limit for connecting, and for requests for addresses and outcomes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Callers of one fleet.
+/// The callers of one fleet, with a shared address cache.
 pub struct Callers {
     http: reqwest::Client,
     daemons: Vec<String>,
     tenants: HashMap<String, TenantPlan>,
-    /// Entry answers by session, with the time until which they may be kept.
+    /// Cached entry addresses by session, with their expiry time.
     entries: Mutex<HashMap<String, (Instant, Vec<String>)>>,
 }
 
-/// How one sending ended.
-enum Sending {
-    /// The whole answer.
+/// Result of sending a request once.
+enum SendResult {
+    /// A complete answer.
     Answer(String),
-    /// A numbered refusal.
+    /// An error response with a result code.
     Refused(Box<ErrorBody>),
-    /// The connection failed before anything was sent.
+    /// Connecting failed, so nothing was sent.
     Unreachable,
-    /// The connection broke afterwards.
+    /// The connection broke after the request may have been sent.
     Broken,
 }
 
 impl Callers {
-    /// Callers that know some daemons to ask for addresses.
+    /// Creates callers that request addresses from the daemons of a fleet.
     pub fn new(topology: &Topology) -> Callers {
         let http = reqwest::Client::builder().connect_timeout(CONNECT_TIMEOUT).build().unwrap_or_default();
         Callers {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends one request until there is a final word.
+    /// Sends one request, with retries, until its outcome is final.
     pub async fn call(&self, request: &TraceRequest) -> CallerRecord {
         let id = ulid::Ulid::new().to_string();
         let tenant = &self.tenants[&request.tenant];
@@ -89,22 +89,22 @@
         call.record
     }
 
-    /// Addresses for a session, kept for as long as the answer allows.
+    /// Addresses for a session, from the cache unless `fresh` is set or the entry has expired.
     async fn addresses(&self, request: &TraceRequest, key: &str, fresh: bool) -> Vec<String> {
-        if !fresh && let Some(kept) = self.kept_addresses(&request.session) {
-            return kept;
+        if !fresh && let Some(cached) = self.cached_addresses(&request.session) {
+            return cached;
         }
         let offset = request.session.len() + request.at_ms as usize;
         for index in 0..self.daemons.len() {
             let daemon = &self.daemons[(offset + index) % self.daemons.len()];
-            let asked = self
+            let sent = self
                 .http
                 .get(format!("{daemon}/v1/entry?session={}", request.session))
                 .bearer_auth(key)
                 .timeout(CONNECT_TIMEOUT)
                 .send()
                 .await;
-            let Ok(response) = asked else { continue };
+            let Ok(response) = sent else { continue };
             let Ok(answer) = response.json::<EntryAnswer>().await else { continue };
             if answer.addresses.is_empty() {
                 continue;
@@ -117,14 +117,14 @@
         Vec::new()
     }
 
-    fn kept_addresses(&self, session: &str) -> Option<Vec<String>> {
+    fn cached_addresses(&self, session: &str) -> Option<Vec<String>> {
         let entries = self.entries.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let (until, addresses) = entries.get(session)?;
         (Instant::now() < *until).then(|| addresses.clone())
     }
 }
 
-/// One request being made.
+/// A request in progress.
 struct Call<'a> {
     callers: &'a Callers,
     request: &'a TraceRequest,
@@ -140,9 +140,9 @@
         let mut addresses = self.callers.addresses(self.request, &self.tenant.key, false).await;
         let mut position = 0;
         let mut may_have_run = false;
-        while Instant::now() < self.deadline + GRACE {
+        while Instant::now() < self.deadline + DEADLINE_GRACE {
             if position >= addresses.len() {
-                tokio::time::sleep(RESEND_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 addresses = self.callers.addresses(self.request, &self.tenant.key, true).await;
                 position = 0;
                 if addresses.is_empty() {
@@ -150,23 +150,23 @@
                 }
             }
             let address = addresses[position].clone();
-            if may_have_run && self.settle_from_outcome(&address).await {
+            if may_have_run && self.resolve_from_outcome(&address).await {
                 return;
             }
             match self.send(&address).await {
-                Sending::Answer(text) => {
-                    self.judge(&text);
+                SendResult::Answer(text) => {
+                    self.check_answer(&text);
                     return;
                 }
-                Sending::Refused(body) => match self.refused(&body).await {
-                    Some(pause) => {
-                        tokio::time::sleep(pause).await;
+                SendResult::Refused(body) => match self.handle_refusal(&body).await {
+                    Some(delay) => {
+                        tokio::time::sleep(delay).await;
                         position += 1;
                     }
                     None => return,
                 },
-                Sending::Unreachable => position += 1,
-                Sending::Broken => {
+                SendResult::Unreachable => position += 1,
+                SendResult::Broken => {
                     may_have_run = true;
                     position += 1;
                 }
@@ -174,31 +174,31 @@
         }
     }
 
-    fn left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Takes a refusal; the pause before the next try, or `None` if it is final.
-    async fn refused(&mut self, body: &ErrorBody) -> Option<Duration> {
+    /// Handles an error response. Returns the delay before the next attempt, or `None` if the outcome is final.
+    async fn handle_refusal(&mut self, body: &ErrorBody) -> Option<Duration> {
         self.record.code = Some(body.error.code);
-        let is_refused_now = body.error.code == ResultCode::RanBefore.number();
+        let may_have_run_before = body.error.code == ResultCode::RanBefore.number();
         match body.error.outcome {
             Some(Outcome::NotRun) => {
                 self.record.told_not_run_ms.push(wall_ms());
                 self.record.result = CallerResult::NotRun;
-                let named = body.error.retry_after_ms.map(Duration::from_millis).unwrap_or(RESEND_PAUSE);
-                let pause = named.min(MAX_PAUSE);
-                let elsewhere = !body.error.addresses.is_empty();
-                let pause = if elsewhere { Duration::ZERO } else { pause };
-                (self.left() > pause).then_some(pause)
+                let requested = body.error.retry_after_ms.map(Duration::from_millis).unwrap_or(RETRY_DELAY);
+                let delay = requested.min(MAX_RETRY_DELAY);
+                let has_other_addresses = !body.error.addresses.is_empty();
+                let delay = if has_other_addresses { Duration::ZERO } else { delay };
+                (self.remaining() > delay).then_some(delay)
             }
-            Some(Outcome::Running) => Some(RESEND_PAUSE),
-            // Refused now, though an earlier sending may have run: what may repeat is sent again.
-            Some(Outcome::Unknown) if self.request.repeatable && is_refused_now => {
-                let pause =
-                    body.error.retry_after_ms.map_or(RESEND_PAUSE, Duration::from_millis).min(MAX_PAUSE);
+            Some(Outcome::Running) => Some(RETRY_DELAY),
+            // This attempt was refused, but an earlier one may have run; a repeatable request is retried.
+            Some(Outcome::Unknown) if self.request.repeatable && may_have_run_before => {
+                let delay =
+                    body.error.retry_after_ms.map_or(RETRY_DELAY, Duration::from_millis).min(MAX_RETRY_DELAY);
                 self.record.result = CallerResult::Unknown;
-                (self.left() > pause).then_some(pause)
+                (self.remaining() > delay).then_some(delay)
             }
             _ => {
                 self.record.result = CallerResult::Unknown;
@@ -207,14 +207,13 @@
         }
     }
 
-    /// After a broken connection: asks another daemon what became of the request. True if that was the final
-    /// word.
-    async fn settle_from_outcome(&mut self, address: &str) -> bool {
+    /// Queries another daemon for the outcome after a connection broke. Returns true if the outcome is final.
+    async fn resolve_from_outcome(&mut self, address: &str) -> bool {
         if self.request.kind == RequestKind::Service {
             if self.request.repeatable {
                 return false;
             }
-            // A plain service keeps no outcomes: nobody can tell.
+            // Outcomes of plain service calls are not stored, so the outcome stays unknown.
             self.record.result = CallerResult::Unknown;
             return true;
         }
@@ -222,7 +221,7 @@
         match outcome.outcome {
             Outcome::Done if outcome.answer_kept => {
                 let Some(text) = self.kept_answer(address).await else { return false };
-                self.judge(&text);
+                self.check_answer(&text);
                 true
             }
             Outcome::Unknown if !self.request.repeatable => {
@@ -234,24 +233,24 @@
     }
 
     async fn outcome(&self, address: &str) -> Option<OutcomeAnswer> {
-        self.ask(&format!("{address}/v1/requests/{}", self.id)).await
+        self.get_json(&format!("{address}/v1/requests/{}", self.id)).await
     }
 
     async fn kept_answer(&self, address: &str) -> Option<String> {
         let completion: ChatCompletion =
-            self.ask(&format!("{address}/v1/requests/{}/answer", self.id)).await?;
+            self.get_json(&format!("{address}/v1/requests/{}/answer", self.id)).await?;
         completion.choices.into_iter().next().map(|choice| choice.message.content)
     }
 
-    async fn ask<T: serde::de::DeserializeOwned>(&self, url: &str) -> Option<T> {
+    async fn get_json<T: serde::de::DeserializeOwned>(&self, url: &str) -> Option<T> {
         let request = self.callers.http.get(url).bearer_auth(&self.tenant.key).timeout(CONNECT_TIMEOUT);
         request.send().await.ok()?.error_for_status().ok()?.json().await.ok()
     }
 
-    fn builder(&self, address: &str) -> reqwest::RequestBuilder {
+    fn request_builder(&self, address: &str) -> reqwest::RequestBuilder {
         let request = self.request;
         let http = &self.callers.http;
-        let builder = match request.kind {
+        let request_builder = match request.kind {
             RequestKind::Chat => http.post(format!("{address}/v1/chat/completions")).json(&json!({
                 "model": request.target, "stream": request.stream, "max_tokens": request.max_tokens,
                 "messages": [{ "role": "user", "content": request.prompt }],
@@ -260,42 +259,42 @@
                 .post(format!("{address}/services/{}/records", request.target))
                 .body(request.prompt.clone()),
         };
-        let left = self.left().as_millis().max(1);
-        builder
+        let remaining_ms = self.remaining().as_millis().max(1);
+        request_builder
             .bearer_auth(&self.tenant.key)
             .header(HEADER_IDEMPOTENCY_KEY, &self.id)
             .header(HEADER_REPEATABLE, if request.repeatable { "yes" } else { "no" })
-            .header(HEADER_DEADLINE_MS, left.to_string())
+            .header(HEADER_DEADLINE_MS, remaining_ms.to_string())
             .header(HEADER_SESSION, &request.session)
-            .timeout(self.left() + GRACE)
+            .timeout(self.remaining() + DEADLINE_GRACE)
     }
 
-    async fn send(&mut self, address: &str) -> Sending {
+    async fn send(&mut self, address: &str) -> SendResult {
         self.record.attempts += 1;
-        let mut response = match self.builder(address).send().await {
+        let mut response = match self.request_builder(address).send().await {
             Ok(response) => response,
-            Err(error) if error.is_connect() => return Sending::Unreachable,
-            Err(_) => return Sending::Broken,
+            Err(error) if error.is_connect() => return SendResult::Unreachable,
+            Err(_) => return SendResult::Broken,
         };
         let status = response.status();
         if !status.is_success() {
             let body = response.json::<ErrorBody>().await;
-            return body.map_or(Sending::Broken, |body| Sending::Refused(Box::new(body)));
+            return body.map_or(SendResult::Broken, |body| SendResult::Refused(Box::new(body)));
         }
         if self.request.kind == RequestKind::Service {
-            return response.text().await.map_or(Sending::Broken, Sending::Answer);
+            return response.text().await.map_or(SendResult::Broken, SendResult::Answer);
         }
         let is_stream =
             response.headers().get("content-type").is_some_and(|kind| kind == "text/event-stream");
         if !is_stream {
             let completion = response.json::<ChatCompletion>().await;
             let first = completion.ok().and_then(|completion| completion.choices.into_iter().next());
-            return first.map_or(Sending::Broken, |choice| Sending::Answer(choice.message.content));
+            return first.map_or(SendResult::Broken, |choice| SendResult::Answer(choice.message.content));
         }
         self.read_stream(&mut response).await
     }
 
-    async fn read_stream(&mut self, response: &mut reqwest::Response) -> Sending {
+    async fn read_stream(&mut self, response: &mut reqwest::Response) -> SendResult {
         let mut buffer = Vec::new();
         let mut text = String::new();
         let mut last_token: Option<Instant> = None;
@@ -308,25 +307,25 @@
                 let Some(data) = event.strip_prefix(b"data: ") else { continue };
                 let data = data.trim_ascii_end();
                 if data == b"[DONE]" {
-                    return Sending::Answer(text);
+                    return SendResult::Answer(text);
                 }
                 if let Ok(body) = serde_json::from_slice::<ErrorBody>(data) {
-                    return Sending::Refused(Box::new(body));
+                    return SendResult::Refused(Box::new(body));
                 }
-                let Ok(chunk) = serde_json::from_slice::<ChatChunk>(data) else { return Sending::Broken };
-                let more =
+                let Ok(chunk) = serde_json::from_slice::<ChatChunk>(data) else { return SendResult::Broken };
+                let content =
                     chunk.choices.into_iter().find_map(|choice| choice.delta.content).unwrap_or_default();
-                if more.is_empty() {
+                if content.is_empty() {
                     continue;
                 }
-                text.push_str(&more);
-                self.note_token(&mut last_token);
+                text.push_str(&content);
+                self.record_token(&mut last_token);
             }
         }
-        Sending::Broken
+        SendResult::Broken
     }
 
-    fn note_token(&mut self, last_token: &mut Option<Instant>) {
+    fn record_token(&mut self, last_token: &mut Option<Instant>) {
         let now = Instant::now();
         self.record.tokens += 1;
         match last_token.replace(now) {
@@ -338,14 +337,14 @@
         }
     }
 
-    /// Holds an answer that the protocol calls whole against the only right one.
-    fn judge(&mut self, text: &str) {
+    /// Compares an answer that is complete according to the protocol with the expected one.
+    fn check_answer(&mut self, text: &str) {
         let expected = match self.request.kind {
             RequestKind::Service => self.request.prompt.clone(),
             RequestKind::Chat => {
                 expected_answer(&format!("user: {}\n", self.request.prompt), self.request.max_tokens)
             }
         };
-        self.record.result = judge_text(text, &expected);
+        self.record.result = classify_answer(text, &expected);
     }
 }
--- a/crates/bench/src/caller_record.rs
+++ b/crates/bench/src/caller_record.rs
@@ -1,4 +1,4 @@
-//! What one caller saw of one request, and how its answer is held against the only right one.
+//! What a caller observed of a request, and the comparison of its answer with the expected one.
 
 use crate::trace::RequestKind;
 use serde::{Deserialize, Serialize};
@@ -7,54 +7,54 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallerResult {
-    /// The whole answer, and the right one.
+    /// The complete and correct answer.
     Whole,
-    /// Told that it was not run.
+    /// Reported as not run.
     NotRun,
-    /// Told that the outcome is not known, or that the answer is incomplete.
+    /// Reported as unknown or incomplete.
     Unknown,
-    /// Taken for whole by the protocol, but incomplete.
+    /// Complete according to the protocol, but truncated.
     Cut,
     /// An answer that belongs to another request.
     Mixed,
-    /// No final word at all.
+    /// No final outcome.
     Lost,
 }
 
-/// What one caller saw.
+/// Observations of one caller on one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CallerRecord {
-    /// The id by which engines and services know the request.
+    /// Request id as seen by engines and services.
     pub engine_id: String,
-    /// What it was for.
+    /// Kind of request.
     pub kind: RequestKind,
-    /// Its tenant's tier.
+    /// Tier of the tenant.
     pub tier: u8,
-    /// Whether it could be run more than once.
+    /// Whether it may be executed more than once.
     pub repeatable: bool,
     /// When it was first sent, in milliseconds since the Unix epoch.
     pub sent_ms: u64,
-    /// When the caller had its final word.
+    /// When the caller had the final outcome, in milliseconds since the Unix epoch.
     pub ended_ms: u64,
-    /// Milliseconds from first sending to the first token; streamed chats only.
+    /// Time from first sending to the first token, in milliseconds; streamed chats only.
     pub first_token_ms: Option<f64>,
-    /// Milliseconds between tokens.
+    /// Times between tokens, in milliseconds.
     pub between_tokens_ms: Vec<f64>,
-    /// Tokens received.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// How it ended.
+    /// Result.
     pub result: CallerResult,
-    /// The last result code that was not success.
+    /// Last result code other than success.
     pub code: Option<u16>,
-    /// When the caller was told "not run", each time, in milliseconds since the Unix epoch.
+    /// Each time the caller was told "not run", in milliseconds since the Unix epoch.
     pub told_not_run_ms: Vec<u64>,
-    /// Times it was sent.
+    /// Number of times the request was sent.
     pub attempts: u32,
 }
 
-/// Whether a text is the expected one, a part of it, or something else.
-pub fn judge_text(text: &str, expected: &str) -> CallerResult {
+/// Classifies an answer: the expected text, a prefix of it, or a different text.
+pub fn classify_answer(text: &str, expected: &str) -> CallerResult {
     if text == expected {
         CallerResult::Whole
     } else if expected.starts_with(text) {
--- a/crates/bench/src/judge/timeline.rs
+++ b/crates/bench/src/checker/timeline.rs
@@ -1,6 +1,7 @@
-//! Promises on machines and replicas, and the two measures, by replaying the ledger in order of time.
+//! Checks of guarantees on machines and replicas, and the downtime and stranding measures. Replays the ledger in
+//! order of time.
 
-use super::{EVIDENCE_ALLOWANCE_MS, Frame, LEAVING_ALLOWANCE_MS};
+use super::{EVIDENCE_ALLOWANCE_MS, LEAVING_ALLOWANCE_MS, RunParameters};
 use crate::summary::Counts;
 use dockwood_emulator::LedgerRecord;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,25 +9,26 @@
 /// A replica at an epoch.
 type Group = (String, u64);
 
-/// The fleet as the ledger shows it at one moment.
+/// State of the fleet at one point of the replayed ledger.
 #[derive(Debug, Default)]
-struct Replay {
-    /// What each machine is loaded for.
+struct LedgerReplay {
+    /// The group that each machine is loaded for.
     loaded: BTreeMap<String, Group>,
-    /// Machines that do not answer.
+    /// Machines that are not responding.
     down: BTreeSet<String>,
     /// Members of each group.
     members: BTreeMap<Group, Vec<String>>,
 }
 
-impl Replay {
-    fn works_for(&self, machine: &String, group: &Group) -> bool {
+impl LedgerReplay {
+    fn serves_in(&self, machine: &String, group: &Group) -> bool {
         self.loaded.get(machine) == Some(group) && !self.down.contains(machine)
     }
 
     fn serving_groups(&self) -> impl Iterator<Item = &Group> {
-        let serves =
-            |(group, members): &(&Group, &Vec<String>)| members.iter().all(|one| self.works_for(one, group));
+        let serves = |(group, members): &(&Group, &Vec<String>)| {
+            members.iter().all(|machine| self.serves_in(machine, group))
+        };
         self.members.iter().filter(serves).map(|(group, _)| group)
     }
 
@@ -34,7 +36,7 @@
         self.serving_groups().map(|group| self.members[group].len()).sum()
     }
 
-    fn take(&mut self, record: &LedgerRecord) {
+    fn apply(&mut self, record: &LedgerRecord) {
         match record {
             LedgerRecord::MachineLoaded { server, replica, epoch, .. } => {
                 match replica {
@@ -43,16 +45,16 @@
                 };
             }
             LedgerRecord::GroupFormed { replica, epoch, members, .. } => {
-                // An epoch of a replica ends when the next one begins.
+                // A new epoch of a replica replaces the previous one.
                 self.members.retain(|(name, older), _| name != replica || older > epoch);
                 self.members.insert((replica.clone(), *epoch), members.clone());
             }
-            LedgerRecord::MachineChanged { server, change, .. } => self.change(server, change),
+            LedgerRecord::MachineChanged { server, change, .. } => self.apply_machine_change(server, change),
             _ => {}
         }
     }
 
-    fn change(&mut self, server: &str, change: &str) {
+    fn apply_machine_change(&mut self, server: &str, change: &str) {
         match change {
             "kill" => {
                 self.loaded.remove(server);
@@ -86,42 +88,43 @@
     }
 }
 
-pub(super) fn count(ledger: &[LedgerRecord], frame: &Frame, counts: &mut Counts) {
-    let mut replay = Replay::default();
-    let mut measured_to = frame.start_ms;
+pub(super) fn count(ledger: &[LedgerRecord], parameters: &RunParameters, counts: &mut Counts) {
+    let mut replay = LedgerReplay::default();
+    let mut measured_until = parameters.start_ms;
     for record in ledger {
-        let now = time_of(record).clamp(frame.start_ms, frame.end_ms);
-        measure(&replay, now.saturating_sub(measured_to), frame, counts);
-        measured_to = now.max(measured_to);
-        replay.take(record);
+        let now = time_of(record).clamp(parameters.start_ms, parameters.end_ms);
+        measure(&replay, now.saturating_sub(measured_until), parameters, counts);
+        measured_until = now.max(measured_until);
+        replay.apply(record);
         if let LedgerRecord::Dispatched { at_ms, replica, epoch, missing, leaving, .. } = record {
             let stale = missing.iter().any(|(_, since)| since + EVIDENCE_ALLOWANCE_MS < *at_ms);
             counts.dispatch_with_missing_machine += u64::from(stale);
-            let allowance = frame.list_lag_ms + LEAVING_ALLOWANCE_MS;
+            let allowance = parameters.list_lag_ms + LEAVING_ALLOWANCE_MS;
             let late = leaving.iter().any(|(_, since)| since + allowance < *at_ms);
             counts.late_work_after_leaving += u64::from(late);
-            counts.machine_in_two_replicas += u64::from(has_foreign_member(&replay, replica, *epoch));
+            counts.machine_in_two_replicas +=
+                u64::from(has_member_of_other_replica(&replay, replica, *epoch));
         }
     }
-    measure(&replay, frame.end_ms.saturating_sub(measured_to), frame, counts);
+    measure(&replay, parameters.end_ms.saturating_sub(measured_until), parameters, counts);
 }
 
-/// Whether a machine of the group is at this moment loaded for another replica.
-fn has_foreign_member(replay: &Replay, replica: &str, epoch: u64) -> bool {
+/// Whether a machine of the group is currently loaded for another replica.
+fn has_member_of_other_replica(replay: &LedgerReplay, replica: &str, epoch: u64) -> bool {
     let Some(members) = replay.members.get(&(replica.to_string(), epoch)) else { return false };
     let foreign = |machine: &String| replay.loaded.get(machine).is_some_and(|(other, _)| other != replica);
     members.iter().any(foreign)
 }
 
-fn measure(replay: &Replay, elapsed_ms: u64, frame: &Frame, counts: &mut Counts) {
+fn measure(replay: &LedgerReplay, elapsed_ms: u64, parameters: &RunParameters, counts: &mut Counts) {
     if elapsed_ms == 0 {
         return;
     }
     let seconds = elapsed_ms as f64 / 1000.0;
     let serving = replay.serving_groups().count();
-    let down = frame.declared_replicas.saturating_sub(serving);
+    let down = parameters.declared_replicas.saturating_sub(serving);
     counts.group_downtime_replica_seconds += seconds * down as f64;
-    let live = frame.machines - replay.down.len().min(frame.machines);
+    let live = parameters.machines - replay.down.len().min(parameters.machines);
     let stranded = live.saturating_sub(replay.serving_machines());
     counts.stranded_machine_seconds += seconds * stranded as f64;
 }
--- a/crates/bench/src/commands/demo.rs
+++ b/crates/bench/src/commands/demo.rs
@@ -1,48 +1,48 @@
-//! `demo`: the whole path on loopback, with a machine and a daemon lost midway.
+//! `demo`: runs a whole fleet on loopback and kills a machine and a daemon under load.
 
 use crate::experiment::{Experiment, run_experiment};
-use crate::fault::{Action, TimedFault};
+use crate::fault::{FaultAction, TimedFault};
 use crate::topology::{Preset, Sizes};
-use crate::workload::{Shape, Workload};
+use crate::workload::{LoadShape, Workload};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use std::io;
 use std::path::PathBuf;
 
-/// Length of the load, in seconds.
+/// Duration of the load, in seconds.
 const LOAD_SECONDS: f64 = 18.0;
-/// Mean requests a second.
+/// Mean rate, in requests per second.
 const LOAD_RATE: f64 = 36.0;
 /// When a machine is killed, in milliseconds.
 const KILL_MACHINE_AT_MS: u64 = 6_000;
-/// When a daemon is killed.
+/// When a daemon is killed, in milliseconds.
 const KILL_DAEMON_AT_MS: u64 = 10_000;
 
 pub(super) fn command() -> Command {
     Command::new("demo")
-        .about("Runs both kinds of load on a whole fleet and loses a machine and a daemon midway")
+        .about("Runs chat and service load on a whole fleet and kills a machine and a daemon midway")
         .arg(preset_argument())
         .arg(out_argument("out/demo"))
 }
 
-/// `--preset`.
+/// The `--preset` argument.
 pub(super) fn preset_argument() -> Arg {
     Arg::new("preset")
         .long("preset")
         .value_parser(["unidos", "brokerage"])
         .default_value("unidos")
-        .help("Whose fleet")
+        .help("Preset of the fleet")
 }
 
-/// `--out`.
+/// The `--out` argument.
 pub(super) fn out_argument(default: &'static str) -> Arg {
     Arg::new("out")
         .long("out")
         .value_parser(value_parser!(PathBuf))
         .default_value(default)
-        .help("Folder for all files")
+        .help("Output folder")
 }
 
-/// The chosen preset.
+/// The selected preset.
 pub(super) fn preset(matches: &ArgMatches) -> Preset {
     match matches.get_one::<String>("preset").map(String::as_str) {
         Some("brokerage") => Preset::Brokerage,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The chosen folder.
+/// The selected output folder.
 pub(super) fn out_folder(matches: &ArgMatches) -> PathBuf {
     matches.get_one::<PathBuf>("out").cloned().unwrap_or_default()
 }
@@ -58,8 +58,8 @@
 pub(super) async fn run(matches: &ArgMatches) -> io::Result<bool> {
     let preset = preset(matches);
     let (shape, deployment) = match preset {
-        Preset::Unidos => (Shape::DispatchRush, "drafts"),
-        Preset::Brokerage => (Shape::MarketClose, "order-checks"),
+        Preset::Unidos => (LoadShape::DispatchRush, "drafts"),
+        Preset::Brokerage => (LoadShape::MarketClose, "order-checks"),
     };
     let folder = out_folder(matches);
     let experiment = Experiment {
@@ -78,16 +78,19 @@
         faults: vec![
             TimedFault {
                 at_ms: KILL_MACHINE_AT_MS,
-                action: Action::Machine { name: format!("head-of:{deployment}"), change: "kill".to_string() },
+                action: FaultAction::Machine {
+                    name: format!("head-of:{deployment}"),
+                    change: "kill".to_string(),
+                },
             },
             TimedFault {
                 at_ms: KILL_DAEMON_AT_MS,
-                action: Action::KillDaemon { name: format!("coordinator-of:{deployment}") },
+                action: FaultAction::KillDaemon { name: format!("coordinator-of:{deployment}") },
             },
         ],
     };
     let outcome = run_experiment(&experiment, None, &folder).await?;
     let summary = outcome.summary;
     println!("{}", serde_json::to_string(&summary)?);
-    Ok(summary.counts.promises_kept() && summary.process_faults.is_empty())
+    Ok(summary.counts.guarantees_hold() && summary.process_faults.is_empty())
 }
--- a/crates/bench/src/commands/matrix.rs
+++ b/crates/bench/src/commands/matrix.rs
@@ -1,4 +1,4 @@
-//! `matrix`: every fault, alone and in pairs, at every step, in the deterministic simulator.
+//! `matrix`: runs every fault, alone and in pairs, at every step in the deterministic simulator.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use dockwood_placement::PlacementPolicy;
@@ -8,13 +8,13 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Failing runs that are printed.
-const SHOWN_FAILURES: usize = 20;
+/// Maximum number of failing runs to print.
+const MAX_PRINTED_FAILURES: usize = 20;
 
 pub(super) fn command() -> Command {
     Command::new("matrix")
         .about(
-            "Crosses every fault, alone and in pairs, with every step; prints invariants broken and measures",
+            "Simulates every fault, alone and in pairs, at every step; prints violated invariants and measures",
         )
         .arg(
             Arg::new("seed")
@@ -28,21 +28,21 @@
                 .long("runs")
                 .value_parser(value_parser!(usize))
                 .default_value("2992")
-                .help("Runs in all; 176 cells are single faults, 2,816 ordered pairs"),
+                .help("Total number of runs; 176 cells are single faults, 2,816 are ordered pairs"),
         )
         .arg(
             Arg::new("placement")
                 .long("placement")
                 .value_parser(["spare-aware", "first-fit", "full-reform", "all"])
                 .default_value("spare-aware")
-                .help("Placement policy; all compares the baselines on the same runs"),
+                .help("Placement policy; all compares the policies on the same runs"),
         )
 }
 
-/// Sums of the runs of one cell.
+/// Measures summed over a set of runs.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
-struct Sums {
+struct MeasureSums {
     runs: u64,
     broken: u64,
     downtime_replica_seconds: f64,
@@ -51,7 +51,7 @@
     recovered_ms: f64,
 }
 
-impl Sums {
+impl MeasureSums {
     fn add(&mut self, result: &RunResult) {
         self.runs += 1;
         self.broken += u64::from(!result.violations.is_empty());
@@ -66,7 +66,7 @@
     }
 }
 
-/// The last line of output.
+/// Summary that is printed as the last line of output.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 struct MatrixSummary {
@@ -80,8 +80,8 @@
     mean_recovered_ms: f64,
 }
 
-/// The faults of cell `index`: first each alone, then every ordered pair.
-fn faults_of(index: usize) -> Vec<Fault> {
+/// The faults of combination `index`: first each fault alone, then every ordered pair.
+fn combination_faults(index: usize) -> Vec<Fault> {
     let count = Fault::ALL.len();
     match index.checked_sub(count) {
         None => vec![Fault::ALL[index]],
@@ -89,15 +89,15 @@
     }
 }
 
-/// The plan of one run: cells in turn, each round with other seeds.
-fn plan_of(number: usize, first_seed: u64, placement: PlacementPolicy) -> RunPlan {
+/// The plan of one run. Runs cycle through the cells; each round uses new seeds.
+fn run_plan(number: usize, first_seed: u64, placement: PlacementPolicy) -> RunPlan {
     let combinations = Fault::ALL.len() * (Fault::ALL.len() + 1);
     let cells = Step::ALL.len() * combinations;
     let cell = number % cells;
     RunPlan {
         seed: first_seed + number as u64,
         step: Step::ALL[cell % Step::ALL.len()],
-        faults: faults_of(cell / Step::ALL.len()),
+        faults: combination_faults(cell / Step::ALL.len()),
         defect: None,
         placement,
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// Runs all plans on all cores; results in order of number.
+/// Runs all plans on all cores and returns the results in order of their numbers.
 fn run_all(runs: usize, first_seed: u64, placement: PlacementPolicy) -> Vec<(RunPlan, RunResult)> {
     let next = AtomicUsize::new(0);
     let results: Mutex<Vec<(usize, RunPlan, RunResult)>> = Mutex::new(Vec::with_capacity(runs));
@@ -124,7 +124,7 @@
                     if number >= runs {
                         return;
                     }
-                    let plan = plan_of(number, first_seed, placement);
+                    let plan = run_plan(number, first_seed, placement);
                     let result = simulate(&plan);
                     results
                         .lock()
@@ -144,9 +144,9 @@
     rows.load_preset(comfy_table::presets::NOTHING);
     rows.set_header(["first fault", "runs", "broken", "downtime", "stranded", "leaderless", "recovered ms"]);
     for fault in Fault::ALL {
-        let mut sums = Sums::default();
-        let of_fault = results.iter().filter(|(plan, _)| plan.faults[0] == fault);
-        of_fault.for_each(|(_, result)| sums.add(result));
+        let mut sums = MeasureSums::default();
+        let with_fault = results.iter().filter(|(plan, _)| plan.faults[0] == fault);
+        with_fault.for_each(|(_, result)| sums.add(result));
         rows.add_row(row(&format!("{fault:?}"), &sums));
     }
     println!("{rows}\n");
@@ -154,14 +154,14 @@
     rows.load_preset(comfy_table::presets::NOTHING);
     rows.set_header(["step", "runs", "broken", "downtime", "stranded", "leaderless", "recovered ms"]);
     for step in Step::ALL {
-        let mut sums = Sums::default();
+        let mut sums = MeasureSums::default();
         results.iter().filter(|(plan, _)| plan.step == step).for_each(|(_, result)| sums.add(result));
         rows.add_row(row(&format!("{step:?}"), &sums));
     }
     println!("{rows}");
 }
 
-fn row(name: &str, sums: &Sums) -> [String; 7] {
+fn row(name: &str, sums: &MeasureSums) -> [String; 7] {
     [
         name.to_string(),
         sums.runs.to_string(),
@@ -175,7 +175,7 @@
 
 fn run_policy(name: &str, runs: usize, first_seed: u64, with_table: bool) -> MatrixSummary {
     let results = run_all(runs, first_seed, policy(name));
-    let mut sums = Sums::default();
+    let mut sums = MeasureSums::default();
     results.iter().for_each(|(_, result)| sums.add(result));
     if with_table {
         println!(
@@ -184,7 +184,7 @@
         print_table(&results);
     }
     let failed = results.iter().filter(|(_, result)| !result.violations.is_empty());
-    for (plan, result) in failed.take(SHOWN_FAILURES) {
+    for (plan, result) in failed.take(MAX_PRINTED_FAILURES) {
         println!("seed {} step {:?} faults {:?}: {:?}", plan.seed, plan.step, plan.faults, result.violations);
     }
     MatrixSummary {
--- a/crates/bench/src/commands/mod.rs
+++ b/crates/bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands of the bench.
+//! Definition and dispatch of the subcommands.
 
 mod demo;
 mod matrix;
@@ -6,13 +6,13 @@
 mod report;
 mod run;
 mod traces;
-pub use traces::StatedOutcomes;
+pub use traces::ExpectedOutcomes;
 mod up;
 
 use clap::{ArgMatches, Command};
 use std::io;
 
-/// All subcommands.
+/// Definitions of all subcommands.
 pub fn all() -> Vec<Command> {
     vec![
         demo::command(),
@@ -27,7 +27,7 @@
     ]
 }
 
-/// Runs the chosen one; false if a promise was broken.
+/// Runs the selected subcommand. Returns false if a guarantee was violated or an expected outcome was not met.
 pub async fn dispatch(matches: &ArgMatches) -> io::Result<bool> {
     match matches.subcommand() {
         Some(("demo", matches)) => demo::run(matches).await,
@@ -39,6 +39,6 @@
         Some(("generate", matches)) => traces::generate_trace(matches),
         Some(("record", matches)) => traces::record(matches).await,
         Some(("replay", matches)) => traces::replay(matches).await,
-        _ => Err(io::Error::other("no such subcommand")),
+        _ => Err(io::Error::other("unknown subcommand")),
     }
 }
--- a/crates/bench/src/commands/overhead.rs
+++ b/crates/bench/src/commands/overhead.rs
@@ -1,4 +1,5 @@
-//! `overhead`: what dockwood adds to a request, against calling the emulated engines directly in the same run.
+//! `overhead`: measures the latency that dockwood adds, compared with calling the emulated engines directly in the same
+//! run.
 
 use super::demo::{out_argument, out_folder};
 use crate::fleet::RunningFleet;
@@ -15,20 +16,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Servers of each measured fleet.
+/// Number of servers of each measured fleet.
 const SERVERS: [usize; 3] = [60, 120, 240];
-/// Callers at once while latency is measured, and while one daemon is loaded.
-const FEW_CALLERS: usize = 4;
-const MANY_CALLERS: usize = 64;
-const LENGTH: Duration = Duration::from_secs(6);
-const FORM_LIMIT: Duration = Duration::from_secs(60);
-/// Tokens of each answer: few, so that the engine's own time is small.
+/// Concurrent callers while latency is measured.
+const LATENCY_CALLERS: usize = 4;
+/// Concurrent callers while the throughput of one daemon is measured.
+const THROUGHPUT_CALLERS: usize = 64;
+/// Duration of each measurement.
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(6);
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Tokens per answer; few, so that the time spent in the engine is small.
 const ANSWER_TOKENS: u32 = 4;
 
 pub(super) fn command() -> Command {
     Command::new("overhead")
         .about(
-            "Measures first-token latency and requests a second through one daemon against the engine itself",
+            "Measures first-token latency and requests per second through one daemon, compared with the engine itself",
         )
         .arg(out_argument("out/overhead"))
 }
@@ -46,7 +49,7 @@
     memory_mib: f64,
 }
 
-/// Whom the callers call.
+/// What the callers send requests to.
 #[derive(Clone)]
 enum Target {
     Daemon { address: SocketAddr, model: String, key: String },
@@ -80,8 +83,8 @@
     }
 }
 
-/// Calls in a closed loop; milliseconds to the first token of each request.
-async fn call(target: Target, callers: usize, length: Duration) -> Vec<f64> {
+/// Sends requests in a closed loop. Returns the time to the first token of each request, in milliseconds.
+async fn run_closed_loop(target: Target, callers: usize, length: Duration) -> Vec<f64> {
     let next = Arc::new(AtomicU64::new(0));
     let http = reqwest::Client::new();
     let until = Instant::now() + length;
@@ -96,7 +99,7 @@
                 if !response.status().is_success() {
                     continue;
                 }
-                // The first bytes carry the first token, or come with it.
+                // The first chunk contains the first token or arrives together with it.
                 let first = response.chunk().await;
                 if matches!(first, Ok(Some(_))) {
                     samples.push(sent.elapsed().as_secs_f64() * 1000.0);
@@ -106,11 +109,11 @@
             samples
         })
     });
-    let ended = futures::future::join_all(loops).await;
-    ended.into_iter().flatten().flatten().collect()
+    let results = futures::future::join_all(loops).await;
+    results.into_iter().flatten().flatten().collect()
 }
 
-async fn heads(fleet: &RunningFleet, deployment: &str) -> io::Result<Vec<(SocketAddr, String, u64)>> {
+async fn group_heads(fleet: &RunningFleet, deployment: &str) -> io::Result<Vec<(SocketAddr, String, u64)>> {
     let list = fleet.operator.read("replicas").await?;
     let items = list["items"].as_array().cloned().unwrap_or_default();
     let engines = &fleet.topology.emulator.engines;
@@ -123,7 +126,7 @@
     Ok(items.iter().filter_map(head).collect())
 }
 
-async fn row(servers: usize, folder: &Path) -> io::Result<Row> {
+async fn measure_fleet(servers: usize, folder: &Path) -> io::Result<Row> {
     let folder = folder.join(servers.to_string());
     std::fs::create_dir_all(&folder)?;
     let folder = folder.canonicalize()?;
@@ -131,23 +134,23 @@
     let mut topology = Topology::new(Preset::Unidos, sizes, own_network(), &folder);
     topology.emulator.model.step_micros = 1_000;
     let fleet = RunningFleet::start(topology).await?;
-    fleet.apply_resources(FORM_LIMIT).await?;
+    fleet.apply_resources(FORMATION_TIMEOUT).await?;
     let deployment = fleet.topology.deployments[0].clone();
     let daemon = Target::Daemon {
         address: fleet.entry_addresses()[0],
         model: deployment.model.clone(),
         key: fleet.topology.tenants[0].key.clone(),
     };
-    let engines = Target::Engines(heads(&fleet, &deployment.name).await?);
-    // Turn about, so that a noisy moment meets both.
-    let half = LENGTH / 2;
-    let mut direct = call(engines.clone(), FEW_CALLERS, half).await;
-    let mut through = call(daemon.clone(), FEW_CALLERS, half).await;
-    direct.extend(call(engines, FEW_CALLERS, half).await);
-    through.extend(call(daemon.clone(), FEW_CALLERS, half).await);
+    let engines = Target::Engines(group_heads(&fleet, &deployment.name).await?);
+    // Alternate, so that noise on the machine affects both measurements.
+    let half = MEASUREMENT_DURATION / 2;
+    let mut direct = run_closed_loop(engines.clone(), LATENCY_CALLERS, half).await;
+    let mut through = run_closed_loop(daemon.clone(), LATENCY_CALLERS, half).await;
+    direct.extend(run_closed_loop(engines, LATENCY_CALLERS, half).await);
+    through.extend(run_closed_loop(daemon.clone(), LATENCY_CALLERS, half).await);
     let before = fleet.daemon_usage(0)?;
     let started = Instant::now();
-    let carried = call(daemon, MANY_CALLERS, LENGTH).await.len() as f64;
+    let completed = run_closed_loop(daemon, THROUGHPUT_CALLERS, MEASUREMENT_DURATION).await.len() as f64;
     let seconds = started.elapsed().as_secs_f64();
     let after = fleet.daemon_usage(0)?;
     fleet.stop().await?;
@@ -158,8 +161,8 @@
         added_p99_ms: through.p99 - direct.p99,
         direct,
         through,
-        requests_per_second: carried / seconds,
-        cpu_ms_per_request: 1000.0 * (after.cpu_seconds - before.cpu_seconds) / carried.max(1.0),
+        requests_per_second: completed / seconds,
+        cpu_ms_per_request: 1000.0 * (after.cpu_seconds - before.cpu_seconds) / completed.max(1.0),
         memory_mib: after.resident_bytes as f64 / f64::from(1 << 20),
     })
 }
@@ -168,7 +171,7 @@
     let folder = out_folder(matches);
     let mut rows = Vec::new();
     for servers in SERVERS {
-        let row = row(servers, &folder).await?;
+        let row = measure_fleet(servers, &folder).await?;
         println!(
             "{servers:>4} servers: first token direct p50 {:.2} p99 {:.2} ms, through p50 {:.2} p99 {:.2} ms (ratio {:.2}, {:.2}); \
              {:.0} requests/s, {:.2} ms cpu each, {:.1} MiB",
--- a/crates/bench/src/commands/run.rs
+++ b/crates/bench/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: an experiment from its file.
+//! `run`: runs an experiment from its file.
 
 use super::demo::{out_argument, out_folder};
 use crate::experiment::{Experiment, run_experiment};
@@ -24,7 +24,7 @@
     serde_saphyr::from_str(&text).map_err(|error| io::Error::other(format!("{}: {error}", path.display())))
 }
 
-/// The experiment that the command line names.
+/// Reads the experiment file named on the command line.
 pub(super) fn experiment(matches: &ArgMatches) -> io::Result<Experiment> {
     let path = matches.get_one::<PathBuf>("experiment").cloned().unwrap_or_default();
     read_experiment(&path)
@@ -33,5 +33,5 @@
 pub(super) async fn run(matches: &ArgMatches) -> io::Result<bool> {
     let outcome = run_experiment(&experiment(matches)?, None, &out_folder(matches)).await?;
     println!("{}", serde_json::to_string(&outcome.summary)?);
-    Ok(outcome.summary.counts.promises_kept() && outcome.summary.process_faults.is_empty())
+    Ok(outcome.summary.counts.guarantees_hold() && outcome.summary.process_faults.is_empty())
 }
--- a/crates/bench/src/commands/traces.rs
+++ b/crates/bench/src/commands/traces.rs
@@ -1,4 +1,4 @@
-//! `generate`, `record` and `replay`: traces as files.
+//! `generate`, `record` and `replay`: write and replay trace files.
 
 use super::demo::{out_argument, out_folder};
 use super::run::experiment;
@@ -21,29 +21,29 @@
 
 pub(super) fn generate_command() -> Command {
     Command::new("generate")
-        .about("Writes the trace of an experiment's workload; the same seed gives the same trace")
+        .about("Writes the trace of an experiment's workload; deterministic for a given seed")
         .arg(experiment_argument())
         .arg(trace_argument("Trace file to write"))
 }
 
 pub(super) fn record_command() -> Command {
     Command::new("record")
-        .about("Runs an experiment and writes its trace and what every caller saw")
+        .about("Runs an experiment and writes its trace and the records of all callers")
         .arg(experiment_argument())
-        .arg(trace_argument("Trace file to write; the records go beside it as .records.jsonl"))
+        .arg(trace_argument("Trace file to write; records are written next to it as .records.jsonl"))
         .arg(out_argument("out/record"))
 }
 
 pub(super) fn replay_command() -> Command {
     Command::new("replay")
-        .about("Runs an experiment with a recorded trace in place of its workload")
+        .about("Runs an experiment with a recorded trace instead of its workload")
         .arg(experiment_argument())
         .arg(trace_argument("Trace file to read"))
         .arg(
             Arg::new("expect")
                 .long("expect")
                 .value_parser(value_parser!(PathBuf))
-                .help("Stated outcomes (YAML); the run fails unless they are met"),
+                .help("Expected outcomes (YAML); the run fails unless they are met"),
         )
         .arg(out_argument("out/replay"))
 }
@@ -69,27 +69,27 @@
         outcome.callers.iter().map(serde_json::to_string).collect();
     std::fs::write(path.with_extension("records.jsonl"), lines?.join("\n"))?;
     println!("{}", serde_json::to_string(&outcome.summary)?);
-    Ok(outcome.summary.counts.promises_kept())
+    Ok(outcome.summary.counts.guarantees_hold())
 }
 
-/// Stated outcomes of a replay; what is absent is not judged. The counts that must be 0 always are.
+/// Expected outcomes of a replay. Absent bounds are not checked; the counts that must be 0 are always checked.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default, deny_unknown_fields)]
-pub struct StatedOutcomes {
-    /// Least whole answers, in percent of requests.
+pub struct ExpectedOutcomes {
+    /// Minimum share of complete answers, in percent of requests.
     pub whole_percent_at_least: Option<f64>,
-    /// Most requests whose outcome stayed unknown.
+    /// Maximum number of requests with an unknown outcome.
     pub unknown_at_most: Option<u64>,
-    /// First token of 95 in 100, in milliseconds.
+    /// Maximum 95th percentile of the time to the first token, in milliseconds.
     pub first_token_p95_ms_at_most: Option<f64>,
-    /// Between tokens of 95 in 100, in milliseconds.
+    /// Maximum 95th percentile of the time between tokens, in milliseconds.
     pub between_tokens_p95_ms_at_most: Option<f64>,
-    /// Replica seconds.
+    /// Maximum group downtime, in replica seconds.
     pub group_downtime_at_most: Option<f64>,
 }
 
-impl StatedOutcomes {
-    /// What was stated and not met.
+impl ExpectedOutcomes {
+    /// Returns a message for each bound that is not met.
     pub fn unmet(&self, summary: &crate::summary::Summary) -> Vec<String> {
         let counts = &summary.counts;
         let whole_percent = 100.0 * counts.whole as f64 / (counts.requests.max(1)) as f64;
@@ -97,7 +97,7 @@
         let mut at_most = |name: &str, value: f64, bound: Option<f64>| {
             if bound.is_some_and(|bound| value > bound) {
                 unmet.push(format!(
-                    "{name}: {value:.1} where at most {:.1} was stated",
+                    "{name}: {value:.1} exceeds the expected maximum of {:.1}",
                     bound.unwrap_or_default()
                 ));
             }
@@ -117,7 +117,7 @@
 
 pub(super) async fn replay(matches: &ArgMatches) -> io::Result<bool> {
     let expected = match matches.get_one::<PathBuf>("expect") {
-        None => StatedOutcomes::default(),
+        None => ExpectedOutcomes::default(),
         Some(path) => serde_saphyr::from_str(&std::fs::read_to_string(path)?)
             .map_err(|error| io::Error::other(format!("{}: {error}", path.display())))?,
     };
@@ -126,5 +126,5 @@
     let unmet = expected.unmet(&outcome.summary);
     unmet.iter().for_each(|line| println!("not met: {line}"));
     println!("{}", serde_json::to_string(&outcome.summary)?);
-    Ok(unmet.is_empty() && outcome.summary.counts.promises_kept())
+    Ok(unmet.is_empty() && outcome.summary.counts.guarantees_hold())
 }
--- a/crates/bench/src/commands/up.rs
+++ b/crates/bench/src/commands/up.rs
@@ -1,4 +1,4 @@
-//! `up`: keeps a fleet running for a person to try.
+//! `up`: keeps a fleet running for interactive use.
 
 use super::demo::{out_argument, out_folder, preset, preset_argument};
 use crate::fleet::RunningFleet;
@@ -7,7 +7,7 @@
 use std::io;
 use std::time::Duration;
 
-const FORM_LIMIT: Duration = Duration::from_secs(60);
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(super) fn command() -> Command {
     Command::new("up")
@@ -22,7 +22,7 @@
     let folder = folder.canonicalize()?;
     let topology = Topology::new(preset(matches), Sizes::default(), own_network(), &folder);
     let fleet = RunningFleet::start(topology).await?;
-    fleet.apply_resources(FORM_LIMIT).await?;
+    fleet.apply_resources(FORMATION_TIMEOUT).await?;
     print_usage(&fleet.topology);
     tokio::signal::ctrl_c().await?;
     println!("stopping");
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -1,10 +1,10 @@
-//! An experiment: a fleet, a load, faults, and the judgement.
+//! Runs an experiment: a fleet under load and faults, and the check of its results.
 
 use crate::caller::Callers;
 use crate::caller_record::CallerRecord;
-use crate::fault::{FaultRecord, TimedFault, run_faults};
+use crate::checker::{RunParameters, check_run};
+use crate::fault::{FaultRecord, TimedFault, inject_faults};
 use crate::fleet::RunningFleet;
-use crate::judge::{Frame, judge};
 use crate::load::send_trace;
 use crate::operator::{Operator, serving_replicas};
 use crate::report::{ReportData, write_report};
@@ -22,44 +22,45 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the fleet.
-const SAMPLE_EVERY: Duration = Duration::from_millis(500);
-/// How long the fleet may take to serve what is declared.
-const FORM_LIMIT: Duration = Duration::from_secs(40);
-/// Load begins this long after everything serves, so that evidence has spread.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Interval between samples of the fleet state.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for all declared replicas to serve.
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(40);
+/// Delay between the last replica serving and the start of the load, so that liveness evidence reaches all daemons.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// An experiment as its file declares it.
+/// An experiment as declared in its file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Experiment {
-    /// Name in reports.
+    /// Name shown in reports.
     pub name: String,
-    /// Whose fleet.
+    /// Preset of the fleet.
     pub preset: Preset,
-    /// How large.
+    /// Sizes of the fleet.
     #[serde(default)]
     pub sizes: Sizes,
-    /// The load; a trace given on the command line goes before it.
+    /// The load; a trace given on the command line takes precedence.
     pub workload: Workload,
-    /// Faults, in order of time.
+    /// Faults, ordered by time.
     #[serde(default)]
     pub faults: Vec<TimedFault>,
 }
 
-/// Everything that a run left.
+/// Results of a run.
 pub struct Outcome {
     /// The summary.
     pub summary: Summary,
-    /// What callers saw.
+    /// What each caller observed.
     pub callers: Vec<CallerRecord>,
     /// The trace that was sent.
     pub trace: Vec<TraceRequest>,
 }
 
-/// Samples taken while the load runs.
+/// Samples of the fleet state taken while the load runs.
 #[derive(Default)]
 struct Samples {
+    /// Elapsed seconds, serving replicas, stranded machines.
     states: Vec<(f64, f64, f64)>,
     regressions: u64,
 }
@@ -76,16 +77,17 @@
     let trace = trace.unwrap_or_else(|| generate(&topology, &experiment.workload));
     let mut fleet = RunningFleet::start(topology.clone()).await?;
     println!("{} daemons hold their leases", topology.daemons.len());
-    fleet.apply_resources(FORM_LIMIT).await?;
+    fleet.apply_resources(FORMATION_TIMEOUT).await?;
     println!("{} replicas serve; all resources are in force", topology.declared_replicas());
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
 
     let start_ms = wall_ms();
     let samples = Arc::new(Mutex::new(Samples::default()));
-    let sampler = tokio::spawn(sample(fleet.operator.clone(), fleet.entry_addresses(), samples.clone()));
+    let sampler =
+        tokio::spawn(sample_fleet(fleet.operator.clone(), fleet.entry_addresses(), samples.clone()));
     let callers = Arc::new(Callers::new(&topology));
     let (records, faults) =
-        tokio::join!(send_trace(callers, &trace), run_faults(&mut fleet, &experiment.faults));
+        tokio::join!(send_trace(callers, &trace), inject_faults(&mut fleet, &experiment.faults));
     let end_ms = wall_ms();
     sampler.abort();
     let faults = faults?;
@@ -93,7 +95,7 @@
     let process_faults = fleet.stop().await?;
 
     let ledger = read_ledger(&topology.emulator.ledger)?;
-    let frame = Frame {
+    let parameters = RunParameters {
         start_ms,
         end_ms,
         declared_replicas: topology.declared_replicas(),
@@ -104,10 +106,10 @@
         let samples = samples.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         (samples.states.clone(), samples.regressions)
     };
-    let counts = judge(&ledger, &records, &frame, regressions);
+    let counts = check_run(&ledger, &records, &parameters, regressions);
     let seconds = (end_ms - start_ms) as f64 / 1000.0;
     let mut summary = summarise(&experiment.name, counts, seconds, &records);
-    // A request whose caller has no record at all is lost too.
+    // A request whose caller left no record counts as lost.
     summary.counts.lost += (trace.len() - records.len()) as u64;
     summary.counts.requests = trace.len() as u64;
     summary.process_faults = process_faults;
@@ -119,11 +121,11 @@
         samples: &states,
     };
     write_report(&folder, &data)?;
-    print_account(&summary, &faults);
+    print_summary(&summary, &faults);
     Ok(Outcome { summary, callers: records, trace })
 }
 
-fn print_account(summary: &Summary, faults: &[FaultRecord]) {
+fn print_summary(summary: &Summary, faults: &[FaultRecord]) {
     for fault in faults {
         println!("{:6.1} s  {}", fault.at_ms as f64 / 1000.0, fault.what);
     }
@@ -146,8 +148,8 @@
     );
 }
 
-/// Samples the leader's view and every daemon's revision until it is aborted.
-async fn sample(operator: Operator, daemons: Vec<SocketAddr>, samples: Arc<Mutex<Samples>>) {
+/// Samples the leader's view and the revision of each daemon until the task is aborted.
+async fn sample_fleet(operator: Operator, daemons: Vec<SocketAddr>, samples: Arc<Mutex<Samples>>) {
     let started = Instant::now();
     let mut highest: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     loop {
@@ -159,17 +161,17 @@
         for daemon in &daemons {
             let Ok(list) = operator.read_at(*daemon, "models?limit=1").await else { continue };
             let Some(revision) = list["resourceVersion"].as_u64() else { continue };
-            let before = highest.entry(*daemon).or_insert(revision);
-            if revision < *before {
+            let highest_seen = highest.entry(*daemon).or_insert(revision);
+            if revision < *highest_seen {
                 samples.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).regressions += 1;
             }
-            *before = revision.max(*before);
+            *highest_seen = revision.max(*highest_seen);
         }
-        tokio::time::sleep(SAMPLE_EVERY).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-/// Events of all daemons in order of their stamps; what every voter recorded stands once.
+/// Events of all daemons ordered by clock stamp. Events recorded by several voters appear once.
 async fn merged_events(operator: &Operator, daemons: &[SocketAddr]) -> Vec<String> {
     let mut events: Vec<Event> = Vec::new();
     for daemon in daemons {
--- a/crates/bench/src/fault.rs
+++ b/crates/bench/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of an experiment, each at its time.
+//! Injects the faults of an experiment at their scheduled times.
 
 use crate::fleet::RunningFleet;
 use nix::sys::signal::Signal;
@@ -6,28 +6,28 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How long a planned stop may take.
-const STOP_LIMIT: Duration = Duration::from_secs(60);
+/// Time limit of a planned stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is done to what.
+/// What a fault does, and to which machine or daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
-pub enum Action {
-    /// A change by the emulator's admin port: `kill`, `restart`, `pause`, `cut`, `slow`, `leave` and so on.
+pub enum FaultAction {
+    /// A change through the emulator's admin API: `kill`, `restart`, `pause`, `cut`, `slow`, `leave` and so on.
     Machine {
         /// Server name; `head-of:DEPLOYMENT` picks the head of its first serving replica.
         name: String,
         /// The change.
         change: String,
     },
-    /// Ends a daemon at once.
+    /// Kills a daemon.
     KillDaemon {
-        /// Daemon name; `leader` and `coordinator-of:DEPLOYMENT` pick one.
+        /// Daemon name, `leader` or `coordinator-of:DEPLOYMENT`.
         name: String,
     },
-    /// Stops a daemon as planned.
+    /// Stops a daemon by SIGTERM.
     StopDaemon {
-        /// As above.
+        /// As for `KillDaemon`.
         name: String,
     },
     /// Starts a daemon that was killed or stopped.
@@ -35,72 +35,74 @@
         /// Daemon name.
         name: String,
     },
-    /// Stops a daemon's process for a while, as a long pause would.
+    /// Suspends the process of a daemon for a while, to simulate a long pause.
     PauseDaemon {
-        /// As for killing.
+        /// As for `KillDaemon`.
         name: String,
-        /// For how long.
+        /// Duration of the pause, in milliseconds.
         milliseconds: u64,
     },
 }
 
-/// A fault at a time.
+/// A scheduled fault.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct TimedFault {
     /// Milliseconds from the start of the load.
     pub at_ms: u64,
-    /// What is done.
-    pub action: Action,
+    /// The fault.
+    pub action: FaultAction,
 }
 
-/// A fault that was brought about.
+/// A fault that was injected.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct FaultRecord {
     /// Milliseconds from the start of the load.
     pub at_ms: u64,
-    /// What was done, with names resolved.
+    /// Description, with names resolved.
     pub what: String,
 }
 
-/// Brings all faults about, in order of time.
-pub async fn run_faults(fleet: &mut RunningFleet, faults: &[TimedFault]) -> io::Result<Vec<FaultRecord>> {
+/// Injects all faults in the given order, each at its time.
+pub async fn inject_faults(fleet: &mut RunningFleet, faults: &[TimedFault]) -> io::Result<Vec<FaultRecord>> {
     let started = Instant::now();
     let mut records = Vec::new();
     for fault in faults {
         tokio::time::sleep_until((started + Duration::from_millis(fault.at_ms)).into()).await;
-        let what = bring_about(fleet, &fault.action).await?;
+        let what = inject_fault(fleet, &fault.action).await?;
         records.push(FaultRecord { at_ms: started.elapsed().as_millis() as u64, what });
     }
     Ok(records)
 }
 
-async fn bring_about(fleet: &mut RunningFleet, action: &Action) -> io::Result<String> {
+async fn inject_fault(fleet: &mut RunningFleet, action: &FaultAction) -> io::Result<String> {
     match action {
-        Action::Machine { name, change } => {
+        FaultAction::Machine { name, change } => {
             let machine = resolve_machine(fleet, name).await?;
             fleet.change_machine(&machine, change).await?;
             Ok(format!("{change} machine {machine}"))
         }
-        Action::KillDaemon { name } => {
+        FaultAction::KillDaemon { name } => {
             let index = resolve_daemon(fleet, name).await?;
             fleet.kill_daemon(index)?;
             Ok(format!("kill daemon {}", fleet.topology.daemons[index].name))
         }
-        Action::StopDaemon { name } => {
+        FaultAction::StopDaemon { name } => {
             let index = resolve_daemon(fleet, name).await?;
-            fleet.stop_daemon(index, STOP_LIMIT).await?;
+            fleet.stop_daemon(index, STOP_TIMEOUT).await?;
             Ok(format!("stop daemon {}", fleet.topology.daemons[index].name))
         }
-        Action::StartDaemon { name } => {
+        FaultAction::StartDaemon { name } => {
             let index = resolve_daemon(fleet, name).await?;
             fleet.start_daemon(index)?;
             Ok(format!("start daemon {}", fleet.topology.daemons[index].name))
         }
-        Action::PauseDaemon { name, milliseconds } => {
+        FaultAction::PauseDaemon { name, milliseconds } => {
             let index = resolve_daemon(fleet, name).await?;
-            let Some(daemon) = fleet.daemon(index) else { return Ok(format!("daemon {name} does not run")) };
+            let Some(daemon) = fleet.daemon(index) else {
+                return Ok(format!("daemon {name} does not run"));
+            };
             daemon.signal(Signal::SIGSTOP)?;
             tokio::time::sleep(Duration::from_millis(*milliseconds)).await;
             daemon.signal(Signal::SIGCONT)?;
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,21 +1,21 @@
-//! A running fleet: the daemons and the emulator as child processes.
+//! A running fleet: daemons and emulator as child processes.
 
 use crate::operator::{Operator, live_daemons, serving_replicas};
-use crate::process::{ChildProcess, Usage, fleet_program};
+use crate::process::{ChildProcess, Usage, fleet_executable};
 use crate::topology::Topology;
 use nix::sys::signal::Signal;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const START_LIMIT: Duration = Duration::from_secs(30);
-const STOP_LIMIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A fleet on loopback.
 pub struct RunningFleet {
-    /// What it consists of.
+    /// Layout of the fleet.
     pub topology: Topology,
-    /// Its operator.
+    /// Client of the resource API.
     pub operator: Operator,
     daemons: Vec<Option<ChildProcess>>,
     emulator: ChildProcess,
@@ -23,9 +23,9 @@
 }
 
 impl RunningFleet {
-    /// Starts every process and waits until each daemon holds a lease.
+    /// Starts all processes and waits until each daemon holds a lease.
     pub async fn start(topology: Topology) -> io::Result<RunningFleet> {
-        // What an earlier run left speaks of other addresses.
+        // Data of an earlier run refers to other addresses.
         let data = topology.folder.join("data");
         if data.exists() {
             std::fs::remove_dir_all(data)?;
@@ -42,7 +42,7 @@
         let emulator_output = topology.folder.join("logs").join("emulator.out");
         let emulator = ChildProcess::start(
             "emulator",
-            &fleet_program()?,
+            &fleet_executable()?,
             &["dockwood-emulator".to_string(), "--fleet".to_string(), fleet_file.display().to_string()],
             &emulator_output,
         )?;
@@ -55,19 +55,19 @@
         }
         fleet
             .operator
-            .wait_for("every daemon holds a lease", START_LIMIT, |status| live_daemons(status) == count)
+            .wait_for("every daemon holds a lease", START_TIMEOUT, |status| live_daemons(status) == count)
             .await?;
         Ok(fleet)
     }
 
-    /// Starts one daemon, or starts it again.
+    /// Starts or restarts a daemon.
     pub fn start_daemon(&mut self, index: usize) -> io::Result<()> {
         let plan = &self.topology.daemons[index];
         let settings = self.topology.folder.join("settings").join(format!("{}.yaml", plan.name));
         std::fs::write(&settings, self.topology.settings(plan))?;
         let output = self.topology.folder.join("logs").join(format!("{}.out", plan.name));
         let arguments = ["dockwoodd".to_string(), "--settings".to_string(), settings.display().to_string()];
-        let child = ChildProcess::start(&plan.name, &fleet_program()?, &arguments, &output)?;
+        let child = ChildProcess::start(&plan.name, &fleet_executable()?, &arguments, &output)?;
         self.daemons[index] = Some(child);
         Ok(())
     }
@@ -83,7 +83,7 @@
         self.operator.wait_for("every declared replica serves, and all is in force", limit, complete).await
     }
 
-    /// The daemon's child process, if it runs.
+    /// The child process of a daemon, if it was started and not stopped.
     pub fn daemon(&mut self, index: usize) -> Option<&mut ChildProcess> {
         self.daemons[index].as_mut()
     }
@@ -93,7 +93,7 @@
         self.topology.daemons.iter().position(|daemon| daemon.name == name)
     }
 
-    /// Kills a daemon as a crash would.
+    /// Kills a daemon, as in a crash.
     pub fn kill_daemon(&mut self, index: usize) -> io::Result<()> {
         match self.daemons[index].take() {
             Some(mut child) => child.kill(),
@@ -101,15 +101,15 @@
         }
     }
 
-    /// Stops a daemon as planned and waits for its end.
+    /// Stops a daemon by SIGTERM, waits for it to exit and returns its exit code.
     pub async fn stop_daemon(&mut self, index: usize, limit: Duration) -> io::Result<i32> {
         let Some(mut child) = self.daemons[index].take() else { return Ok(0) };
         child.signal(Signal::SIGTERM)?;
-        let ended = child.wait(limit).await;
-        ended.ok_or_else(|| io::Error::other(format!("{} did not end within {limit:?}", child.name)))
+        let exit_code = child.wait(limit).await;
+        exit_code.ok_or_else(|| io::Error::other(format!("{} did not exit within {limit:?}", child.name)))
     }
 
-    /// Changes a machine by the emulator's admin port.
+    /// Changes the state of a machine through the emulator's admin API.
     pub async fn change_machine(&self, machine: &str, change: &str) -> io::Result<()> {
         let url = format!("http://{}/admin/machines/{machine}/{change}", self.topology.emulator.admin);
         let response = self.http.post(url).send().await.map_err(io::Error::other)?;
@@ -121,28 +121,28 @@
         self.topology.daemons.iter().map(|daemon| daemon.http).collect()
     }
 
-    /// What a running daemon uses.
+    /// Resource usage of a running daemon.
     pub fn daemon_usage(&self, index: usize) -> io::Result<Usage> {
         let child =
-            self.daemons[index].as_ref().ok_or_else(|| io::Error::other("the daemon does not run"))?;
+            self.daemons[index].as_ref().ok_or_else(|| io::Error::other("the daemon is not running"))?;
         child.usage()
     }
 
-    /// Stops everything in order; the exit codes of daemons that did not end well.
+    /// Stops the daemons, then the emulator. Returns a message for each process that did not exit cleanly.
     pub async fn stop(mut self) -> io::Result<Vec<String>> {
         let mut faults = Vec::new();
         for child in self.daemons.iter().flatten() {
             child.signal(Signal::SIGTERM)?;
         }
         for child in self.daemons.iter_mut().flatten() {
-            match child.wait(STOP_LIMIT).await {
+            match child.wait(STOP_TIMEOUT).await {
                 Some(0) => {}
                 Some(code) => faults.push(format!("{} ended with {code}", child.name)),
                 None => faults.push(format!("{} did not end", child.name)),
             }
         }
         self.emulator.signal(Signal::SIGTERM)?;
-        if self.emulator.wait(STOP_LIMIT).await.is_none() {
+        if self.emulator.wait(STOP_TIMEOUT).await.is_none() {
             faults.push("the emulator did not end".to_string());
         }
         Ok(faults)
--- a/crates/bench/src/html.rs
+++ b/crates/bench/src/html.rs
@@ -1,7 +1,7 @@
-//! What all pages of the bench share.
+//! HTML helpers shared by all report pages.
 
-/// The begin of a page: its style, title and heading.
-pub fn page_begin(title: &str) -> String {
+/// The start of a page: its style, title and heading.
+pub fn page_header(title: &str) -> String {
     let title = escape(title);
     let mut page = String::from(
         "<!doctype html><meta charset=\"utf-8\"><style>body{font:14px sans-serif;margin:2em;max-width:60em}",
@@ -16,7 +16,7 @@
     page
 }
 
-/// Text as it may stand in a page.
+/// Escapes text for use in HTML content.
 pub fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,17 +1,17 @@
-//! The bench: fleets on loopback, load from traces, failures on demand, and judgement by the emulator's ledger
-//! and the callers' own records, never by dockwood's own counters.
+//! Test bench: runs fleets on loopback, replays traces as load, injects faults, and checks the results against the
+//! emulator's ledger and the callers' own records, never against dockwood's own counters.
 //!
-//! It is a test tool, so it may start the daemon and the emulator as child processes. What it measures is what
-//! callers and operators see; it knows nothing of the daemon's inside.
+//! It starts the daemon and the emulator as child processes. It measures what callers and operators see and does not
+//! depend on the internals of the daemon.
 
 pub mod caller;
 pub mod caller_record;
+pub mod checker;
 pub mod commands;
 pub mod experiment;
 pub mod fault;
 pub mod fleet;
 pub mod html;
-pub mod judge;
 pub mod load;
 pub mod log_report;
 pub mod operator;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Sends a trace: each request at its own time, however slow the answers are (open loop).
+//! Open-loop load generator: sends each request of a trace at its arrival time, regardless of pending answers.
 
 use crate::caller::Callers;
 use crate::caller_record::CallerRecord;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// A progress bar over requests; hidden where the output is no terminal.
+/// Creates a progress bar over requests; hidden if the output is not a terminal.
 fn progress_bar(length: usize) -> ProgressBar {
     let bar = ProgressBar::new(length as u64);
     if let Ok(style) = ProgressStyle::with_template("{elapsed_precise} {wide_bar} {pos}/{len} requests {msg}")
@@ -18,7 +18,7 @@
     bar
 }
 
-/// Sends all requests and returns what their callers saw, in order of arrival.
+/// Sends all requests and returns the callers' records in order of arrival.
 pub async fn send_trace(callers: Arc<Callers>, requests: &[TraceRequest]) -> Vec<CallerRecord> {
     let started = Instant::now();
     let bar = progress_bar(requests.len());
@@ -29,16 +29,16 @@
         tokio::time::sleep_until(due.into()).await;
         let (callers, request) = (callers.clone(), request.clone());
         calls.spawn(async move { (position, callers.call(&request).await) });
-        while let Some(Ok(ended)) = calls.try_join_next() {
+        while let Some(Ok(finished)) = calls.try_join_next() {
             bar.inc(1);
-            records.push(ended);
+            records.push(finished);
         }
     }
-    while let Some(ended) = calls.join_next().await {
+    while let Some(finished) = calls.join_next().await {
         bar.inc(1);
-        // A caller that panicked has no record; the count shows it as lost.
-        if let Ok(ended) = ended {
-            records.push(ended);
+        // A caller that panicked leaves no record and is counted as lost.
+        if let Ok(finished) = finished {
+            records.push(finished);
         }
     }
     bar.finish_and_clear();
--- a/crates/bench/src/log_report/mod.rs
+++ b/crates/bench/src/log_report/mod.rs
@@ -1,43 +1,43 @@
-//! What the logs of a deployment tell of an hour: a table by second, the lives of groups, and a page with plots.
+//! Summarises the logs of a deployment: a table by second, the lifecycles of groups, and an HTML page with plots.
 
 mod groups;
 mod page;
-mod reading;
-mod seconds;
+mod per_second;
+mod reader;
 
-pub use groups::{GroupLife, group_lives};
+pub use groups::{GroupLifecycle, group_lifecycles};
 pub use page::html;
-pub use reading::{LogLines, UnreadLine};
-pub use seconds::{Second, seconds, table};
+pub use per_second::{SecondStats, stats_by_second, table};
+pub use reader::{LogLines, SkippedLine};
 
 use dockwood_log_lines::Body;
 
-/// Lines of all logs in order of time, with seconds counted from the first request.
+/// Statistics of all logs, with seconds counted from the first request.
 #[derive(Clone, Debug)]
 pub struct LogReport {
-    /// Milliseconds since the Unix epoch at which second 0 begins.
+    /// Start of second 0, in milliseconds since the Unix epoch.
     pub begins_at_ms: u64,
-    /// Each second that has any line.
-    pub seconds: Vec<Second>,
-    /// The groups.
-    pub groups: Vec<GroupLife>,
-    /// What was not read.
+    /// Statistics of each second that has log lines.
+    pub seconds: Vec<SecondStats>,
+    /// Lifecycles of the groups.
+    pub groups: Vec<GroupLifecycle>,
+    /// The lines, and what was skipped.
     pub logs: LogLines,
 }
 
 impl LogReport {
-    /// Makes the report of what was read.
-    pub fn of(mut logs: LogLines) -> LogReport {
+    /// Builds the report.
+    pub fn new(mut logs: LogLines) -> LogReport {
         logs.lines.sort_by_key(|line| line.at_ms);
         let first_request = logs.lines.iter().find(|line| matches!(line.body, Body::Request(_)));
         let begins_at_ms = first_request.or(logs.lines.first()).map_or(0, |line| line.at_ms);
-        let groups = group_lives(&logs.lines);
-        let seconds = seconds(&logs.lines, &groups, begins_at_ms);
+        let groups = group_lifecycles(&logs.lines);
+        let seconds = stats_by_second(&logs.lines, &groups, begins_at_ms);
         LogReport { begins_at_ms, seconds, groups, logs }
     }
 }
 
-/// The second of a time, counted from `begins_at_ms`; negative before it.
+/// The second that contains a time, counted from `begins_at_ms`; negative before it.
 fn second_of(at_ms: u64, begins_at_ms: u64) -> i64 {
     (at_ms as i64 - begins_at_ms as i64).div_euclid(1_000)
 }
--- a/crates/bench/src/log_report/page.rs
+++ b/crates/bench/src/log_report/page.rs
@@ -1,44 +1,45 @@
-//! The page: plots by second, life lines of groups, and what was not read.
+//! The HTML page: plots by second, phases of groups, and skipped lines.
 
-use super::seconds::percentile;
-use super::{LogReport, Second};
-use crate::html::{escape, page_begin};
-use crate::plot::{LifeLine, LifePhase, PlotTexts, Series, life_lines, line_plot};
+use super::per_second::percentile;
+use super::{LogReport, SecondStats};
+use crate::html::{escape, page_header};
+use crate::plot::{PhaseRow, PhaseSpan, PlotLabels, Series, line_plot, phase_plot};
 use std::fmt::Write;
 
-/// Groups in the plot of life lines, at most: the last ones that were formed.
-const MOST_GROUPS: usize = 300;
+/// Maximum number of groups in the phase plot; the most recently formed ones are shown.
+const MAX_GROUPS: usize = 300;
 
 /// Milliseconds in a second.
 const SECOND_MS: f64 = 1_000.0;
 
-/// A figure of a second, where it has one.
-struct Figure {
+/// A value by second; seconds without a value are left out.
+struct Metric {
     name: &'static str,
-    of: fn(&Second) -> Option<f64>,
+    value: fn(&SecondStats) -> Option<f64>,
 }
 
-/// One plot of figures by second.
-struct FigurePlot {
+/// A plot of metrics by second.
+struct MetricPlot {
     title: &'static str,
     unit: &'static str,
-    figures: Vec<Figure>,
+    metrics: Vec<Metric>,
 }
 
-/// The page of a report.
+/// Renders a report as an HTML page.
 pub fn html(report: &LogReport) -> String {
-    let mut page = page_begin("What the logs tell");
+    let mut page = page_header("What the logs tell");
     let _ = write!(
         page,
         "<p>Second 0 is {} ms after the Unix epoch. {}. Of each result a daemon writes some lines a second; those that it \
          held back are counted, their times are not known.</p>",
         report.begins_at_ms,
-        escape(&report.logs.unread())
+        escape(&report.logs.summary())
     );
-    if !report.logs.named.is_empty() {
+    if !report.logs.skipped_samples.is_empty() {
         page.push_str("<ul>");
-        for unread in &report.logs.named {
-            let _ = write!(page, "<li>{}: {}</li>", escape(&unread.place), escape(&unread.fault.to_string()));
+        for skipped in &report.logs.skipped_samples {
+            let _ =
+                write!(page, "<li>{}: {}</li>", escape(&skipped.place), escape(&skipped.fault.to_string()));
         }
         page.push_str("</ul>");
     }
@@ -53,98 +54,98 @@
     Some(value as f64)
 }
 
-fn figure(name: &'static str, of: fn(&Second) -> Option<f64>) -> Figure {
-    Figure { name, of }
+fn metric(name: &'static str, value: fn(&SecondStats) -> Option<f64>) -> Metric {
+    Metric { name, value }
 }
 
-fn plots() -> [FigurePlot; 6] {
+fn plots() -> [MetricPlot; 6] {
     [
-        FigurePlot {
+        MetricPlot {
             title: "Requests that ended",
             unit: "requests/s",
-            figures: vec![
-                figure("answered", |second| count(second.answered)),
-                figure("refused", |second| count(second.refused)),
-                figure("failed", |second| count(second.failed)),
-                figure("caller left", |second| count(second.left)),
+            metrics: vec![
+                metric("answered", |second| count(second.answered)),
+                metric("refused", |second| count(second.refused)),
+                metric("failed", |second| count(second.failed)),
+                metric("caller left", |second| count(second.left)),
             ],
         },
-        FigurePlot {
+        MetricPlot {
             title: "Time to the first event",
             unit: "ms",
-            figures: vec![
-                figure("p50", |second| percentile(&second.first_event_ms, 50).and_then(count)),
-                figure("p95", |second| percentile(&second.first_event_ms, 95).and_then(count)),
+            metrics: vec![
+                metric("p50", |second| percentile(&second.first_event_ms, 50).and_then(count)),
+                metric("p95", |second| percentile(&second.first_event_ms, 95).and_then(count)),
             ],
         },
-        FigurePlot {
+        MetricPlot {
             title: "Groups",
             unit: "groups",
-            figures: vec![
-                figure("open", |second| count(second.open)),
-                figure("ended", |second| count(second.ended)),
+            metrics: vec![
+                metric("open", |second| count(second.open)),
+                metric("ended", |second| count(second.ended)),
             ],
         },
-        FigurePlot {
+        MetricPlot {
             title: "Leases and leaders",
             unit: "count",
-            figures: vec![
-                figure("leases lost", |second| count(second.leases_lost)),
-                figure("elections", |second| count(second.elections)),
+            metrics: vec![
+                metric("leases lost", |second| count(second.leases_lost)),
+                metric("elections", |second| count(second.elections)),
             ],
         },
-        FigurePlot {
+        MetricPlot {
             title: "Rest of the lease, age of places",
             unit: "ms",
-            figures: vec![
-                figure("shortest lease", |second| second.least_lease_ms.and_then(count)),
-                figure("age of places, p95", |second| percentile(&second.places_age_ms, 95).and_then(count)),
+            metrics: vec![
+                metric("shortest lease", |second| second.least_lease_ms.and_then(count)),
+                metric("age of places, p95", |second| percentile(&second.places_age_ms, 95).and_then(count)),
             ],
         },
-        FigurePlot {
+        MetricPlot {
             title: "Longest turn of a control thread",
             unit: "ms",
-            figures: vec![figure("longest", |second| count(second.longest_turn_ms))],
+            metrics: vec![metric("longest", |second| count(second.longest_turn_ms))],
         },
     ]
 }
 
-fn draw(report: &LogReport, plot: &FigurePlot) -> String {
+fn draw(report: &LogReport, plot: &MetricPlot) -> String {
     let series: Vec<Series> = plot
-        .figures
+        .metrics
         .iter()
-        .map(|figure| {
-            let point = |second: &Second| Some((second.at as f64, (figure.of)(second)?));
+        .map(|metric| {
+            let point = |second: &SecondStats| Some((second.at as f64, (metric.value)(second)?));
             Series {
-                name: figure.name.to_string(),
+                name: metric.name.to_string(),
                 points: report.seconds.iter().filter_map(point).collect(),
             }
         })
         .collect();
-    line_plot(PlotTexts { title: plot.title, x: "seconds", y: plot.unit }, &series)
+    line_plot(PlotLabels { title: plot.title, x: "seconds", y: plot.unit }, &series)
 }
 
 fn groups_plot(report: &LogReport) -> String {
     let last = report.seconds.last().map_or(0.0, |second| (second.at + 1) as f64);
     let at = |at_ms: u64| (at_ms as f64 - report.begins_at_ms as f64) / SECOND_MS;
-    let first_shown = report.groups.len().saturating_sub(MOST_GROUPS);
-    let lives: Vec<LifeLine> = report.groups[first_shown..]
+    let first_shown = report.groups.len().saturating_sub(MAX_GROUPS);
+    let rows: Vec<PhaseRow> = report.groups[first_shown..]
         .iter()
         .map(|group| {
             let end = group.ended_at.map_or(last, at);
             let closing = group.closing_at.map_or(end, at);
             let open = group.open_at.map_or(closing, at);
             let formed = group.formed_at.map_or(open, at);
-            LifeLine {
+            PhaseRow {
                 number: group.epoch,
                 phases: vec![
-                    LifePhase { name: "forming", from: formed, to: open },
-                    LifePhase { name: "open", from: open, to: closing },
-                    LifePhase { name: "closing", from: closing, to: end },
+                    PhaseSpan { name: "forming", from: formed, to: open },
+                    PhaseSpan { name: "open", from: open, to: closing },
+                    PhaseSpan { name: "closing", from: closing, to: end },
                 ],
             }
         })
         .collect();
-    let title = format!("Groups by epoch, the last {} of {}", lives.len(), report.groups.len());
-    life_lines(PlotTexts { title: &title, x: "seconds", y: "epoch" }, &lives)
+    let title = format!("Groups by epoch, the last {} of {}", rows.len(), report.groups.len());
+    phase_plot(PlotLabels { title: &title, x: "seconds", y: "epoch" }, &rows)
 }
--- a/crates/bench/src/log_report/seconds.rs
+++ b/crates/bench/src/log_report/per_second.rs
@@ -1,21 +1,21 @@
-//! A table by second.
+//! Statistics by second.
 
-use super::groups::GroupLife;
+use super::groups::GroupLifecycle;
 use super::second_of;
 use comfy_table::Table;
 use dockwood_log_lines::{Body, Event, Line, Request};
 use std::collections::{BTreeMap, HashSet};
 
-/// Result code of an answered request.
+/// Result code of a request that was answered.
 const OK: u16 = 1_000;
-/// Result code of a request whose caller left.
+/// Result code of a request whose caller disconnected.
 const CALLER_LEFT: u16 = 3_007;
-/// Result codes from here to the next thousand say that the request was not run.
+/// First result code of the class "not run".
 const NOT_RUN: u16 = 2_000;
 /// Width of a class of result codes.
 const CODE_CLASS: u16 = 1_000;
 
-/// A change that was committed. Every voter tells of it when it applies it.
+/// A committed change. Every voter logs it when it applies it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CommittedChange {
     subject: String,
@@ -24,32 +24,32 @@
 }
 
 impl CommittedChange {
-    /// The change that a line tells of, if it tells of a committed one.
-    fn of(line: &Line) -> Option<CommittedChange> {
+    /// The committed change that a line reports, if any.
+    fn from_line(line: &Line) -> Option<CommittedChange> {
         let Body::Event(event) = &line.body else { return None };
         let (subject, reason) = (event.subject.clone(), event.reason.clone());
         Some(CommittedChange { subject, reason, revision: event.revision? })
     }
 }
 
-/// One second.
+/// Statistics of one second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Second {
+pub struct SecondStats {
     /// Seconds since the first request.
     pub at: i64,
-    /// Requests answered, with those whose lines were held back.
+    /// Requests answered, including those whose lines were suppressed.
     pub answered: u64,
-    /// Requests refused as not run.
+    /// Requests refused without being run.
     pub refused: u64,
-    /// Requests that failed otherwise.
+    /// Requests that failed in other ways.
     pub failed: u64,
-    /// Requests whose callers left.
+    /// Requests whose callers disconnected.
     pub left: u64,
-    /// Times to the first event, in milliseconds, in order.
+    /// Times to the first event, in milliseconds, sorted.
     pub first_event_ms: Vec<u64>,
-    /// Ages of the last word on places, in milliseconds, in order.
+    /// Ages of the leader's last message on places, in milliseconds, sorted.
     pub places_age_ms: Vec<u64>,
-    /// The shortest rest of a configuration lease when a request ended, in milliseconds.
+    /// Shortest remaining time of a configuration lease when a request ended, in milliseconds.
     pub least_lease_ms: Option<u64>,
     /// Leases lost.
     pub leases_lost: u64,
@@ -59,21 +59,21 @@
     pub formed: u64,
     /// Groups ended.
     pub ended: u64,
-    /// Groups that take requests at its end.
+    /// Groups that accept requests at the end of the second.
     pub open: u64,
-    /// Long turns of control threads, with those whose lines were held back.
+    /// Slow turns of control threads, including those whose lines were suppressed.
     pub slow_turns: u64,
-    /// The longest of them, in milliseconds.
+    /// Duration of the longest slow turn, in milliseconds.
     pub longest_turn_ms: u64,
-    /// Faults of daemons' own.
+    /// Internal faults of daemons.
     pub faults: u64,
 }
 
-impl Second {
-    fn take(&mut self, line: &Line) {
+impl SecondStats {
+    fn add_line(&mut self, line: &Line) {
         match &line.body {
-            Body::Request(request) => self.take_request(request),
-            Body::Event(event) => self.take_event(event),
+            Body::Request(request) => self.add_request(request),
+            Body::Event(event) => self.add_event(event),
             Body::SlowTurn(turn) => {
                 self.slow_turns += 1 + turn.held_back;
                 self.longest_turn_ms = self.longest_turn_ms.max(turn.took_ms);
@@ -83,7 +83,7 @@
         }
     }
 
-    fn take_request(&mut self, request: &Request) {
+    fn add_request(&mut self, request: &Request) {
         let count = match request.code {
             OK => &mut self.answered,
             CALLER_LEFT => &mut self.left,
@@ -97,7 +97,7 @@
         self.least_lease_ms = Some(least);
     }
 
-    fn take_event(&mut self, event: &Event) {
+    fn add_event(&mut self, event: &Event) {
         match event.reason.as_str() {
             "LeaseLost" => self.leases_lost += 1,
             "Elected" => self.elections += 1,
@@ -107,7 +107,7 @@
         }
     }
 
-    fn finish(&mut self, groups: &[GroupLife], begins_at_ms: u64) {
+    fn finish(&mut self, groups: &[GroupLifecycle], begins_at_ms: u64) {
         self.first_event_ms.sort_unstable();
         self.places_age_ms.sort_unstable();
         let end_ms = (begins_at_ms as i64 + (self.at + 1) * 1_000 - 1).max(0) as u64;
@@ -115,29 +115,29 @@
     }
 }
 
-/// The seconds that have any line, in order.
-pub fn seconds(lines: &[Line], groups: &[GroupLife], begins_at_ms: u64) -> Vec<Second> {
-    let mut seconds: BTreeMap<i64, Second> = BTreeMap::new();
-    let mut told = HashSet::new();
+/// Computes the statistics of each second that has log lines, in order.
+pub fn stats_by_second(lines: &[Line], groups: &[GroupLifecycle], begins_at_ms: u64) -> Vec<SecondStats> {
+    let mut seconds: BTreeMap<i64, SecondStats> = BTreeMap::new();
+    let mut seen_changes = HashSet::new();
     for line in lines {
-        // The first voter's word on a change counts.
-        if CommittedChange::of(line).is_none_or(|change| told.insert(change)) {
+        // Count a committed change only once, at the first voter that logs it.
+        if CommittedChange::from_line(line).is_none_or(|change| seen_changes.insert(change)) {
             let at = second_of(line.at_ms, begins_at_ms);
-            seconds.entry(at).or_insert_with(|| Second { at, ..Second::default() }).take(line);
+            seconds.entry(at).or_insert_with(|| SecondStats { at, ..SecondStats::default() }).add_line(line);
         }
     }
     seconds.values_mut().for_each(|second| second.finish(groups, begins_at_ms));
     seconds.into_values().collect()
 }
 
-/// The value below which `percent` of ordered samples lie.
-pub(super) fn percentile(ordered: &[u64], percent: usize) -> Option<u64> {
-    let last = ordered.len().checked_sub(1)?;
-    ordered.get(last * percent / 100).copied()
+/// The given percentile of sorted samples.
+pub(super) fn percentile(sorted: &[u64], percent: usize) -> Option<u64> {
+    let last = sorted.len().checked_sub(1)?;
+    sorted.get(last * percent / 100).copied()
 }
 
-/// The table for a terminal.
-pub fn table(seconds: &[Second]) -> Table {
+/// Renders the statistics as a table for the terminal.
+pub fn table(seconds: &[SecondStats]) -> Table {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::NOTHING);
     table.set_header([
@@ -158,7 +158,7 @@
         "turns",
         "longest",
     ]);
-    let shown = |value: Option<u64>| value.map_or("-".to_string(), |value| value.to_string());
+    let optional = |value: Option<u64>| value.map_or("-".to_string(), |value| value.to_string());
     for second in seconds {
         table.add_row([
             second.at.to_string(),
@@ -166,10 +166,10 @@
             second.refused.to_string(),
             second.failed.to_string(),
             second.left.to_string(),
-            shown(percentile(&second.first_event_ms, 50)),
-            shown(percentile(&second.first_event_ms, 95)),
-            shown(percentile(&second.places_age_ms, 95)),
-            shown(second.least_lease_ms),
+            optional(percentile(&second.first_event_ms, 50)),
+            optional(percentile(&second.first_event_ms, 95)),
+            optional(percentile(&second.places_age_ms, 95)),
+            optional(second.least_lease_ms),
             second.leases_lost.to_string(),
             second.elections.to_string(),
             second.formed.to_string(),
--- a/crates/bench/src/log_report/reading.rs
+++ b/crates/bench/src/log_report/reader.rs
@@ -1,44 +1,44 @@
-//! Reads log files. What can't be read is counted and named, and stops nothing.
+//! Reads log files. Lines that cannot be parsed are counted and the first ones reported; they do not stop the reading.
 
 use dockwood_log_lines::{Line, LineFault, parse};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
 use std::path::Path;
 
-/// Lines that could not be read and are named, at most; the others are counted.
-const MOST_NAMED: usize = 10;
+/// Maximum number of skipped lines that are reported individually; all are counted.
+const MAX_SKIPPED_SAMPLES: usize = 10;
 
-/// A line that could not be read.
+/// A line that could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UnreadLine {
-    /// File and number of the line.
+pub struct SkippedLine {
+    /// File name and line number.
     pub place: String,
-    /// Why.
+    /// Why it was skipped.
     pub fault: LineFault,
 }
 
-/// What was read of all logs.
+/// Lines read from all logs, and counts of skipped lines.
 #[derive(Clone, Debug, Default)]
 pub struct LogLines {
-    /// Lines of daemons.
+    /// Log lines of daemons.
     pub lines: Vec<Line>,
-    /// Lines that are damaged.
+    /// Number of damaged lines.
     pub damaged: u64,
-    /// Lines of other programs.
+    /// Number of lines of other programs.
     pub foreign: u64,
-    /// The first of those.
-    pub named: Vec<UnreadLine>,
+    /// The first skipped lines.
+    pub skipped_samples: Vec<SkippedLine>,
 }
 
 impl LogLines {
-    /// Reads a file.
+    /// Reads a log file.
     pub fn read_file(&mut self, path: &Path) -> io::Result<()> {
-        let told = |error: io::Error| io::Error::other(format!("{}: {error}", path.display()));
-        let file = File::open(path).map_err(told)?;
-        self.read(&path.display().to_string(), BufReader::new(file)).map_err(told)
+        let with_path = |error: io::Error| io::Error::other(format!("{}: {error}", path.display()));
+        let file = File::open(path).map_err(with_path)?;
+        self.read(&path.display().to_string(), BufReader::new(file)).map_err(with_path)
     }
 
-    /// Reads lines from a source of that name. Bytes that are no text damage their line alone.
+    /// Reads lines from a source; `name` is used in reports. Invalid UTF-8 affects only the line that contains it.
     pub fn read(&mut self, name: &str, mut source: impl BufRead) -> io::Result<()> {
         let mut bytes = Vec::new();
         for number in 1_u64.. {
@@ -52,24 +52,24 @@
             }
             match parse(&text) {
                 Ok(line) => self.lines.push(line),
-                Err(fault) => self.count(format!("{name}:{number}"), fault),
+                Err(fault) => self.count_skipped(format!("{name}:{number}"), fault),
             }
         }
         Ok(())
     }
 
-    fn count(&mut self, place: String, fault: LineFault) {
+    fn count_skipped(&mut self, place: String, fault: LineFault) {
         match fault {
             LineFault::Damaged(_) => self.damaged += 1,
             LineFault::NoObject | LineFault::Foreign => self.foreign += 1,
         }
-        if self.named.len() < MOST_NAMED {
-            self.named.push(UnreadLine { place, fault });
+        if self.skipped_samples.len() < MAX_SKIPPED_SAMPLES {
+            self.skipped_samples.push(SkippedLine { place, fault });
         }
     }
 
-    /// What was not read, in one line for people.
-    pub fn unread(&self) -> String {
+    /// One-line summary of lines read and skipped.
+    pub fn summary(&self) -> String {
         format!(
             "{} lines of daemons read, {} damaged, {} of other programs",
             self.lines.len(),
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,5 @@
-//! `dockwood-bench`: runs fleets on loopback, sends load, brings about failures, and judges by what really ran.
+//! `dockwood-bench`: runs fleets on loopback, sends load, injects faults, and checks the results against what was
+//! executed.
 
 use clap::{ArgMatches, Command};
 use dockwood_bench::commands;
@@ -7,7 +8,7 @@
 
 fn command() -> Command {
     Command::new("dockwood-bench")
-        .about("Load, experiments and judgement for dockwood")
+        .about("Load generation, experiments and correctness checks for dockwood")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands(commands::all())
@@ -15,12 +16,12 @@
         .subcommand(dockwood_emulator::cli::command().hide(true))
 }
 
-/// Runs a command. Told to end, it drops the command, and with it every process that it started.
+/// Runs a command. On SIGTERM the command is dropped, which kills every process that it started.
 async fn run(matches: &ArgMatches) -> std::io::Result<bool> {
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
         result = commands::dispatch(matches) => result,
-        _ = terminate.recv() => Err(std::io::Error::other("told to end")),
+        _ = terminate.recv() => Err(std::io::Error::other("terminated by SIGTERM")),
     }
 }
 
@@ -31,7 +32,8 @@
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    // A fleet's processes are this program again, so that one build makes all that a run starts.
+    // The daemons and the emulator of a fleet run from this executable, so that one build produces everything a run
+    // starts.
     match matches.subcommand() {
         Some(("dockwoodd", matches)) => {
             return dockwood_daemon::cli::execute(
--- a/crates/bench/src/operator.rs
+++ b/crates/bench/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's side of a run: applies resources and asks how things stand.
+//! Client of the resource API: applies resources and reads the status of the fleet.
 
 use crate::topology::OPERATOR_TOKEN;
 use serde_json::Value;
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long one call may take.
+/// Time limit of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Calls the resource API of whichever daemon answers.
+/// Calls the resource API at the first daemon that answers.
 #[derive(Clone, Debug)]
 pub struct Operator {
     http: reqwest::Client,
@@ -17,21 +17,21 @@
 }
 
 impl Operator {
-    /// An operator that knows these daemons.
+    /// Creates an operator for these daemons.
     pub fn new(daemons: Vec<SocketAddr>) -> Operator {
         Operator { http: reqwest::Client::new(), daemons }
     }
 
     /// Reads a path of the resource API from the first daemon that answers.
     pub async fn read(&self, path: &str) -> io::Result<Value> {
-        let mut last = io::Error::other("no daemon is known");
+        let mut last_error = io::Error::other("no daemon is configured");
         for daemon in &self.daemons {
             match self.read_at(*daemon, path).await {
                 Ok(value) => return Ok(value),
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// Reads a path from one daemon.
@@ -41,13 +41,13 @@
         response.error_for_status().map_err(io::Error::other)?.json().await.map_err(io::Error::other)
     }
 
-    /// Applies one resource, resending under the same change id until a daemon accepts it.
+    /// Applies one resource. Retries with the same change id until a daemon accepts it.
     pub async fn apply(&self, resource: &Value) -> io::Result<Value> {
         let text =
             |pointer: &str| resource.pointer(pointer).and_then(Value::as_str).unwrap_or("").to_string();
         let (kind, name) = (text("/kind"), text("/metadata/name"));
         let change_id = ulid::Ulid::new().to_string();
-        let mut last = io::Error::other("no daemon is known");
+        let mut last_error = io::Error::other("no daemon is configured");
         for daemon in self.daemons.iter().cycle().take(self.daemons.len() * 3) {
             let request = self
                 .http
@@ -58,7 +58,7 @@
                 .json(resource);
             match request.send().await {
                 Ok(response) if response.status().is_server_error() => {
-                    last = io::Error::other(format!("{}", response.status()));
+                    last_error = io::Error::other(format!("{}", response.status()));
                 }
                 Ok(response) if response.status().is_success() => {
                     return response.json().await.map_err(io::Error::other);
@@ -67,27 +67,27 @@
                     let body = response.text().await.unwrap_or_default();
                     return Err(io::Error::other(format!("{kind}/{name}: {body}")));
                 }
-                Err(error) => last = io::Error::other(error),
+                Err(error) => last_error = io::Error::other(error),
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Applies resources in order; within a kind, many at once.
+    /// Applies resources in order; consecutive resources of one kind are applied concurrently.
     pub async fn apply_all(&self, resources: &[Value]) -> io::Result<()> {
-        const AT_ONCE: usize = 32;
+        const MAX_CONCURRENT: usize = 32;
         let mut start = 0;
         while start < resources.len() {
             let kind = &resources[start]["kind"];
             let end = resources[start..]
                 .iter()
-                .position(|one| &one["kind"] != kind)
+                .position(|resource| &resource["kind"] != kind)
                 .map_or(resources.len(), |n| start + n);
             let applying = resources[start..end].iter().map(|resource| self.apply(resource));
             let results: Vec<io::Result<Value>> = futures::StreamExt::collect(futures::StreamExt::buffered(
                 futures::stream::iter(applying),
-                AT_ONCE,
+                MAX_CONCURRENT,
             ))
             .await;
             results.into_iter().collect::<io::Result<Vec<Value>>>()?;
@@ -96,39 +96,39 @@
         Ok(())
     }
 
-    /// The control leader's view.
+    /// Reads the control leader's view of the fleet.
     pub async fn status(&self) -> io::Result<Value> {
         self.read("status").await
     }
 
-    /// Waits until `condition` holds of the leader's view.
+    /// Waits until `condition` holds for the leader's view; `what` describes it in the error.
     pub async fn wait_for(
         &self,
         what: &str,
         limit: Duration,
         condition: impl Fn(&Value) -> bool,
     ) -> io::Result<()> {
-        const POLL: Duration = Duration::from_millis(100);
+        const POLL_INTERVAL: Duration = Duration::from_millis(100);
         let waiting = async {
             loop {
                 if self.status().await.is_ok_and(|status| condition(&status)) {
                     return;
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         let waited = tokio::time::timeout(limit, waiting).await;
-        waited.map_err(|_| io::Error::other(format!("not within {limit:?}: {what}")))
+        waited.map_err(|_| io::Error::other(format!("timed out after {limit:?} waiting until {what}")))
     }
 }
 
-/// Replicas that the view shows as serving.
+/// Number of replicas that are serving according to the leader's view.
 pub fn serving_replicas(status: &Value) -> usize {
     let replicas = status["replicas"].as_array().map(Vec::as_slice).unwrap_or_default();
     replicas.iter().filter(|replica| replica["serving"] == Value::Bool(true)).count()
 }
 
-/// Daemons that the view shows as holding a lease.
+/// Number of live daemons that hold a lease according to the leader's view.
 pub fn live_daemons(status: &Value) -> usize {
     let daemons = status["daemons"].as_array().map(Vec::as_slice).unwrap_or_default();
     daemons
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,13 +1,14 @@
-//! Plots as SVG.
+//! SVG plots.
 
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 use std::ops::Range;
 
-const SIZE: (u32, u32) = (720, 320);
-/// Size of plots with many lines above each other.
-const TALL: (u32, u32) = (720, 900);
+/// Size of a line plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (720, 320);
+/// Size of a phase plot, which has many rows, in pixels.
+const PHASE_PLOT_SIZE: (u32, u32) = (720, 900);
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -17,23 +18,23 @@
     RGBColor(90, 90, 90),
 ];
 
-/// One line of a plot.
+/// One data series of a plot.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points, in order of x.
+    /// Points, ordered by x.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A plot's texts.
+/// Title and axis labels of a plot.
 #[derive(Clone, Copy, Debug)]
-pub struct PlotTexts<'a> {
+pub struct PlotLabels<'a> {
     /// Title.
     pub title: &'a str,
-    /// Name of the horizontal axis.
+    /// Label of the horizontal axis.
     pub x: &'a str,
-    /// Name of the vertical axis.
+    /// Label of the vertical axis.
     pub y: &'a str,
 }
 
@@ -51,22 +52,22 @@
     (x, (0.0, if highest > 0.0 { highest * 1.05 } else { 1.0 }))
 }
 
-/// Draws lines; a plot that can't be drawn is replaced by the reason.
-pub fn line_plot(texts: PlotTexts<'_>, series: &[Series]) -> String {
+/// Draws a line plot; returns the error message as HTML if drawing fails.
+pub fn line_plot(labels: PlotLabels<'_>, series: &[Series]) -> String {
     let mut svg = String::new();
-    match draw(texts, series, &mut svg) {
+    match draw(labels, series, &mut svg) {
         Ok(()) => svg,
-        Err(error) => format!("<p>{}: {error}</p>", texts.title),
+        Err(error) => format!("<p>{}: {error}</p>", labels.title),
     }
 }
 
-/// A plot with two axes of numbers, as SVG.
+/// An SVG chart with two numeric axes.
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// An empty plot with its title and axes.
-fn chart_on<'a, 'b>(
+/// Draws the title and axes of a plot.
+fn chart_with_axes<'a, 'b>(
     root: &'a DrawingArea<SVGBackend<'b>, Shift>,
-    texts: PlotTexts<'_>,
+    labels: PlotLabels<'_>,
     x: Range<f64>,
     y: Range<f64>,
 ) -> Result<Chart<'a, 'b>, Box<dyn std::error::Error>>
@@ -74,25 +75,29 @@
     'b: 'a,
 {
     let mut chart = ChartBuilder::on(root)
-        .caption(texts.title, ("sans-serif", 16))
+        .caption(labels.title, ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(56)
         .build_cartesian_2d(x, y)?;
-    chart.configure_mesh().x_desc(texts.x).y_desc(texts.y).light_line_style(WHITE).draw()?;
+    chart.configure_mesh().x_desc(labels.x).y_desc(labels.y).light_line_style(WHITE).draw()?;
     Ok(chart)
 }
 
-/// The colour's line in the legend.
+/// The line that shows a colour in the legend.
 fn legend_line((x, y): (i32, i32), colour: RGBColor) -> PathElement<(i32, i32)> {
     PathElement::new([(x, y), (x + 16, y)], colour)
 }
 
-fn draw(texts: PlotTexts<'_>, series: &[Series], svg: &mut String) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+fn draw(
+    labels: PlotLabels<'_>,
+    series: &[Series],
+    svg: &mut String,
+) -> Result<(), Box<dyn std::error::Error>> {
+    let root = SVGBackend::with_string(svg, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let (x, y) = bounds(series);
-    let mut chart = chart_on(&root, texts, x.0..x.1, y.0..y.1)?;
+    let mut chart = chart_with_axes(&root, labels, x.0..x.1, y.0..y.1)?;
     for (index, line) in series.iter().enumerate() {
         let colour = COLOURS[index % COLOURS.len()];
         let drawn =
@@ -106,59 +111,59 @@
     Ok(())
 }
 
-/// A stretch of time in something's life.
+/// The time span of one phase of a lifecycle.
 #[derive(Clone, Copy, Debug)]
-pub struct LifePhase {
-    /// Its name in the legend.
+pub struct PhaseSpan {
+    /// Name in the legend.
     pub name: &'static str,
-    /// When it begins.
+    /// Start.
     pub from: f64,
-    /// When it ends.
+    /// End.
     pub to: f64,
 }
 
-/// The phases of one thing, drawn beside each other at the height of its number.
+/// The phases of one item, drawn as a row at the height of its number.
 #[derive(Clone, Debug)]
-pub struct LifeLine {
-    /// Its number.
+pub struct PhaseRow {
+    /// Number of the item, its position on the vertical axis.
     pub number: u64,
-    /// Its phases; the same ones in each line, empty ones among them.
-    pub phases: Vec<LifePhase>,
+    /// The phases. Every row has the same ones in the same order; a phase may be empty.
+    pub phases: Vec<PhaseSpan>,
 }
 
-/// Draws life lines; a plot that can't be drawn is replaced by the reason.
-pub fn life_lines(texts: PlotTexts<'_>, lives: &[LifeLine]) -> String {
+/// Draws a phase plot; returns the error message as HTML if drawing fails.
+pub fn phase_plot(labels: PlotLabels<'_>, rows: &[PhaseRow]) -> String {
     let mut svg = String::new();
-    match draw_lives(texts, lives, &mut svg) {
+    match draw_phases(labels, rows, &mut svg) {
         Ok(()) => svg,
-        Err(error) => format!("<p>{}: {error}</p>", texts.title),
+        Err(error) => format!("<p>{}: {error}</p>", labels.title),
     }
 }
 
-fn draw_lives(
-    texts: PlotTexts<'_>,
-    lives: &[LifeLine],
+fn draw_phases(
+    labels: PlotLabels<'_>,
+    rows: &[PhaseRow],
     svg: &mut String,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::with_string(svg, TALL).into_drawing_area();
+    let root = SVGBackend::with_string(svg, PHASE_PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let phases = || lives.iter().flat_map(|life| &life.phases);
+    let phases = || rows.iter().flat_map(|row| &row.phases);
     let from = phases().map(|phase| phase.from).fold(f64::MAX, f64::min).min(0.0);
     let to = phases().map(|phase| phase.to).fold(f64::MIN, f64::max).max(from + 1.0);
-    let lowest = lives.first().map_or(0.0, |life| life.number as f64 - 1.0);
-    let highest = lives.last().map_or(1.0, |life| life.number as f64 + 1.0);
-    let mut chart = chart_on(&root, texts, from..to, lowest..highest)?;
-    let names = lives.first().map(|life| life.phases.len()).unwrap_or_default();
+    let lowest = rows.first().map_or(0.0, |row| row.number as f64 - 1.0);
+    let highest = rows.last().map_or(1.0, |row| row.number as f64 + 1.0);
+    let mut chart = chart_with_axes(&root, labels, from..to, lowest..highest)?;
+    let names = rows.first().map(|row| row.phases.len()).unwrap_or_default();
     for index in 0..names {
         let colour = COLOURS[index % COLOURS.len()];
-        let stretch = |life: &LifeLine| {
-            let phase = life.phases.get(index)?;
-            let height = life.number as f64;
+        let segment = |row: &PhaseRow| {
+            let phase = row.phases.get(index)?;
+            let height = row.number as f64;
             let ends = vec![(phase.from, height), (phase.to, height)];
             (phase.to > phase.from).then(|| PathElement::new(ends, colour.stroke_width(2)))
         };
-        let name = lives[0].phases[index].name;
-        let drawn = chart.draw_series(lives.iter().filter_map(stretch))?;
+        let name = rows[0].phases[index].name;
+        let drawn = chart.draw_series(rows.iter().filter_map(segment))?;
         drawn.label(name).legend(move |at| legend_line(at, colour));
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
@@ -166,7 +171,7 @@
     Ok(())
 }
 
-/// The distribution of samples as a line from share to value.
+/// The distribution of samples as a series of values by percentile.
 pub fn distribution(name: &str, mut samples: Vec<f64>) -> Series {
     const STEPS: usize = 100;
     samples.sort_by(f64::total_cmp);
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of a run: started here, and ended here by their own process ids.
+//! Child processes of a run. Each is started here and signalled only by its own process id.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -7,19 +7,19 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Name of the bench's program.
+/// Name of the bench executable.
 const PROGRAM: &str = "dockwood-bench";
 
-/// A child process; killed if it still runs when this is dropped.
+/// A child process; killed on drop if it is still running.
 #[derive(Debug)]
 pub struct ChildProcess {
-    /// What it is, for messages.
+    /// Name used in messages.
     pub name: String,
     child: Child,
 }
 
 impl ChildProcess {
-    /// Starts a program with its output going to a file.
+    /// Starts a program with stdout and stderr appended to a file.
     pub fn start(
         name: &str,
         program: &Path,
@@ -38,41 +38,41 @@
         Ok(ChildProcess { name: name.to_string(), child })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process is still running.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         kill(Pid::from_raw(self.child.id() as i32), signal).map_err(io::Error::from)
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process immediately, as in a crash.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(|_| ())
     }
 
-    /// Waits for its end; `None` if it still runs after `limit`.
+    /// Waits for the process to exit and returns its exit code; `None` if it is still running after `limit`.
     pub async fn wait(&mut self, limit: Duration) -> Option<i32> {
-        const POLL: Duration = Duration::from_millis(20);
-        let give_up = Instant::now() + limit;
-        while Instant::now() < give_up {
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.code().unwrap_or(-1));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// What it uses now.
+    /// Current resource usage of the process.
     pub fn usage(&self) -> io::Result<Usage> {
         Usage::read(self.child.id())
     }
@@ -80,28 +80,28 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        if self.runs() {
+        if self.is_running() {
             let _ = self.kill();
         }
     }
 }
 
-/// Processor time and memory of a process.
+/// CPU time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time since its start, in seconds.
+    /// CPU time since the process started, in seconds.
     pub cpu_seconds: f64,
-    /// Resident memory, in bytes.
+    /// Resident set size, in bytes.
     pub resident_bytes: u64,
 }
 
 impl Usage {
-    /// Reads a process's figures from `/proc`.
+    /// Reads the usage of a process from `/proc`.
     pub fn read(pid: u32) -> io::Result<Usage> {
         const TICKS_PER_SECOND: f64 = 100.0;
         const PAGE_BYTES: u64 = 4_096;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-        // The program's name may hold blanks; the numbers follow its closing bracket.
+        // The program name may contain spaces; the numeric fields follow its closing parenthesis.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         let number =
             |index: usize| fields.get(index).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0);
@@ -113,8 +113,8 @@
     }
 }
 
-/// The program that plays every part of a fleet: this one, or the one that was built beside a test.
-pub fn fleet_program() -> io::Result<PathBuf> {
+/// Path of the executable that runs all processes of a fleet: this one, or in tests the bench built next to the test.
+pub fn fleet_executable() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let is_bench = own.file_stem().is_some_and(|stem| stem == PROGRAM);
     if is_bench {
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,29 +1,29 @@
-//! The report of a run: `summary.json` and `report.html` with its plots.
+//! Report of a run: `summary.json`, and `report.html` with plots.
 
 use crate::caller_record::{CallerRecord, CallerResult};
 use crate::fault::FaultRecord;
-use crate::html::{escape, page_begin};
-use crate::plot::{PlotTexts, Series, distribution, line_plot};
+use crate::html::{escape, page_header};
+use crate::plot::{PlotLabels, Series, distribution, line_plot};
 use crate::summary::Summary;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io;
 use std::path::Path;
 
-/// Width of a bar of the load plot, in seconds.
+/// Bin width of the load plot, in seconds.
 const BIN_SECONDS: f64 = 1.0;
 
-/// What a report is made of.
+/// Contents of a report.
 pub struct ReportData<'a> {
     /// The summary.
     pub summary: &'a Summary,
-    /// What callers saw.
+    /// What each caller observed.
     pub callers: &'a [CallerRecord],
-    /// What was done to the fleet.
+    /// Faults that were injected.
     pub faults: &'a [FaultRecord],
-    /// Events of all daemons, as lines.
+    /// Events of all daemons, one line each.
     pub events: &'a [String],
-    /// Samples of replicas serving and machines stranded: seconds, serving, stranded.
+    /// Samples of the fleet state: elapsed seconds, serving replicas, stranded machines.
     pub samples: &'a [(f64, f64, f64)],
 }
 
@@ -35,7 +35,7 @@
 }
 
 fn html(data: &ReportData<'_>) -> String {
-    let mut page = page_begin(&data.summary.experiment);
+    let mut page = page_header(&data.summary.experiment);
     page.push_str(&counts_table(data.summary));
     page.push_str(&tier_table(data.summary));
     page.push_str(&first_token_plot(data.callers));
@@ -93,7 +93,7 @@
     table
 }
 
-fn by_tier(callers: &[CallerRecord], samples: impl Fn(&CallerRecord) -> Vec<f64>) -> Vec<Series> {
+fn series_by_tier(callers: &[CallerRecord], samples: impl Fn(&CallerRecord) -> Vec<f64>) -> Vec<Series> {
     let mut tiers: BTreeMap<u8, Vec<f64>> = BTreeMap::new();
     for record in callers {
         tiers.entry(record.tier).or_default().extend(samples(record));
@@ -102,13 +102,13 @@
 }
 
 fn first_token_plot(callers: &[CallerRecord]) -> String {
-    let texts = PlotTexts { title: "First token", x: "percent of requests", y: "ms" };
-    line_plot(texts, &by_tier(callers, |record| record.first_token_ms.into_iter().collect()))
+    let labels = PlotLabels { title: "First token", x: "percent of requests", y: "ms" };
+    line_plot(labels, &series_by_tier(callers, |record| record.first_token_ms.into_iter().collect()))
 }
 
 fn between_tokens_plot(callers: &[CallerRecord]) -> String {
-    let texts = PlotTexts { title: "Between tokens", x: "percent of tokens", y: "ms" };
-    line_plot(texts, &by_tier(callers, |record| record.between_tokens_ms.clone()))
+    let labels = PlotLabels { title: "Between tokens", x: "percent of tokens", y: "ms" };
+    line_plot(labels, &series_by_tier(callers, |record| record.between_tokens_ms.clone()))
 }
 
 fn load_plot(callers: &[CallerRecord]) -> String {
@@ -129,8 +129,8 @@
             .map(|(bin, count)| (bin as f64 * BIN_SECONDS, count / BIN_SECONDS))
             .collect(),
     };
-    let texts = PlotTexts { title: "Requests a second", x: "seconds", y: "requests/s" };
-    line_plot(texts, &[series("sent", sent), series("whole", whole)])
+    let labels = PlotLabels { title: "Requests a second", x: "seconds", y: "requests/s" };
+    line_plot(labels, &[series("sent", sent), series("whole", whole)])
 }
 
 fn state_plot(samples: &[(f64, f64, f64)]) -> String {
@@ -138,6 +138,9 @@
         name: name.to_string(),
         points: samples.iter().map(|sample| (sample.0, value(sample))).collect(),
     };
-    let texts = PlotTexts { title: "Replicas serving, machines stranded", x: "seconds", y: "count" };
-    line_plot(texts, &[series("serving replicas", |one| one.1), series("stranded machines", |one| one.2)])
+    let labels = PlotLabels { title: "Replicas serving, machines stranded", x: "seconds", y: "count" };
+    line_plot(
+        labels,
+        &[series("serving replicas", |sample| sample.1), series("stranded machines", |sample| sample.2)],
+    )
 }
--- a/crates/bench/src/summary.rs
+++ b/crates/bench/src/summary.rs
@@ -1,4 +1,4 @@
-//! The summary of a run: counts, measures and latencies, as `summary.json` and as the last line of output.
+//! Summary of a run with counts, measures and latencies, written to `summary.json` and as the last line of output.
 
 use crate::caller_record::{CallerRecord, CallerResult};
 use hdrhistogram::Histogram;
@@ -8,35 +8,35 @@
 /// Counts and measures of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests of the trace.
+    /// Requests in the trace.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// Final word "not run".
+    /// Requests with the final outcome "not run".
     pub not_run: u64,
-    /// Final word "unknown" or "incomplete".
+    /// Requests with the final outcome "unknown" or "incomplete".
     pub unknown: u64,
-    /// Incomplete answers that looked whole. Must be 0.
+    /// Incomplete answers that the protocol presented as complete. Must be 0.
     pub cut: u64,
-    /// Requests without a final word. Must be 0.
+    /// Requests without a final outcome. Must be 0.
     pub lost: u64,
     /// Answers that belong to another request. Must be 0.
     pub mixed: u64,
-    /// Non-repeatable requests that ran twice. Must be 0.
+    /// Non-repeatable requests that were executed twice. Must be 0.
     pub doubled: u64,
-    /// Requests called not run that a back end had. Must be 0.
+    /// Requests reported as not run although a backend had received them. Must be 0.
     pub false_not_run: u64,
-    /// Dispatches to a group of which a machine worked for another replica. Must be 0.
+    /// Dispatches to a group with a machine that was loaded for another replica. Must be 0.
     pub machine_in_two_replicas: u64,
     /// Dispatches to a replica with a machine missing for longer than the evidence window. Must be 0.
     pub dispatch_with_missing_machine: u64,
-    /// Times that a daemon showed an older revision than before. Must be 0.
+    /// Times that a daemon returned an older revision than before. Must be 0.
     pub revision_regressions: u64,
-    /// Dispatches to a machine that was leaving for too long. Must be 0.
+    /// Dispatches to a machine that had been leaving for longer than allowed. Must be 0.
     pub late_work_after_leaving: u64,
-    /// Seconds × replicas declared and not serving.
+    /// Declared replicas that were not serving, integrated over time, in replica seconds.
     pub group_downtime_replica_seconds: f64,
-    /// Seconds × live machines outside any serving replica.
+    /// Live machines outside any serving replica, integrated over time, in machine seconds.
     pub stranded_machine_seconds: f64,
 }
 
@@ -56,8 +56,8 @@
         ]
     }
 
-    /// Whether every promise was kept.
-    pub fn promises_kept(&self) -> bool {
+    /// Whether all counts that must be 0 are 0.
+    pub fn guarantees_hold(&self) -> bool {
         self.must_be_zero().iter().all(|(_, count)| *count == 0)
     }
 }
@@ -65,22 +65,22 @@
 /// Percentiles of a latency, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// Samples.
+    /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Percentiles of samples in milliseconds.
+/// Computes percentiles of samples in milliseconds.
 pub fn percentiles(samples: impl Iterator<Item = f64>) -> Percentiles {
     const MICROS_PER_MS: f64 = 1000.0;
-    const HIGHEST_MICROS: u64 = 3_600_000_000;
-    const DIGITS: u8 = 3;
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, HIGHEST_MICROS, DIGITS) else {
+    const MAX_MICROS: u64 = 3_600_000_000;
+    const SIGNIFICANT_DIGITS: u8 = 3;
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS) else {
         return Percentiles::default();
     };
     for sample in samples {
@@ -96,13 +96,13 @@
 /// Latencies of one tier.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TierSummary {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// From sending to the first token.
+    /// Time from sending to the first token.
     pub first_token_ms: Percentiles,
-    /// Between tokens.
+    /// Time between tokens.
     pub between_tokens_ms: Percentiles,
 }
 
@@ -114,17 +114,17 @@
     /// Counts and measures.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Length of the judged time.
+    /// Length of the measured period.
     pub seconds: f64,
-    /// From sending to the first token.
+    /// Time from sending to the first token.
     pub first_token_ms: Percentiles,
-    /// Between tokens.
+    /// Time between tokens.
     pub between_tokens_ms: Percentiles,
-    /// By tier.
+    /// Results by tier.
     pub tiers: BTreeMap<u8, TierSummary>,
-    /// Requests by the last code that was not success.
+    /// Number of requests by their last result code other than success.
     pub codes: BTreeMap<u16, u64>,
-    /// Processes that did not end well.
+    /// Messages on processes that did not exit cleanly.
     pub process_faults: Vec<String>,
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// Puts the summary of a run together.
+/// Builds the summary of a run.
 pub fn summarise(experiment: &str, counts: Counts, seconds: f64, callers: &[CallerRecord]) -> Summary {
     let all: Vec<&CallerRecord> = callers.iter().collect();
     let overall = tier_summary(&all);
--- a/crates/bench/src/topology.rs
+++ b/crates/bench/src/topology.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of: daemons, machines, services, tenants, and the resources that declare them.
+//! Layout of a fleet: daemons, machines, services and tenants, and the resources that declare them.
 
 use dockwood_emulator::{EngineConfig, EngineModel, FleetConfig, ServiceConfig, ServiceServerConfig};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 /// The operator token of every fleet that the bench starts.
 pub const OPERATOR_TOKEN: &str = "bench-operator-token";
 
-/// Which users' fleet.
+/// The user whose fleet is modelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Preset {
@@ -29,25 +29,25 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default, deny_unknown_fields)]
 pub struct Sizes {
-    /// Daemons, spread over the zones.
+    /// Number of daemons, spread over the zones.
     pub daemons: usize,
-    /// Members of the control group.
+    /// Number of voters of the control group.
     pub voters: usize,
-    /// Machines, spread over the domains.
+    /// Number of machines, spread over the fabric domains.
     pub servers: usize,
-    /// Machines of one fabric domain.
+    /// Machines per fabric domain.
     pub domain_machines: usize,
-    /// Machines of one replica.
+    /// Machines per replica.
     pub machines_per_replica: usize,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub plain_servers: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Rate of the weight store, in MiB a second.
+    /// Throughput of the weight store, in MiB per second.
     pub store_mib_per_second: u64,
-    /// Weights of the model, in MiB.
+    /// Size of the model weights, in MiB.
     pub weights_mib: u64,
-    /// Every so many machines, one does not check fences; 0 for none.
+    /// One in this many machines does not check fences; 0 if all check them.
     pub unfenced_every: usize,
 }
 
@@ -68,8 +68,8 @@
     }
 }
 
-/// Names that a preset gives.
-struct Names {
+/// Resource names of a preset.
+struct PresetNames {
     region: &'static str,
     zones: [&'static str; 3],
     model: &'static str,
@@ -77,16 +77,16 @@
     service: &'static str,
 }
 
-fn names(preset: Preset) -> Names {
+fn preset_names(preset: Preset) -> PresetNames {
     match preset {
-        Preset::Unidos => Names {
+        Preset::Unidos => PresetNames {
             region: "valle-central",
             zones: ["sanjose", "heredia", "cartago"],
             model: "redactor",
             deployments: ["drafts", "summaries"],
             service: "tablero",
         },
-        Preset::Brokerage => Names {
+        Preset::Brokerage => PresetNames {
             region: "prague",
             zones: ["sal-karlin", "sal-chodov", "sal-holesovice"],
             model: "modelova-farma",
@@ -96,51 +96,51 @@
     }
 }
 
-/// One daemon.
+/// A daemon of the fleet.
 #[derive(Clone, Debug)]
 pub struct DaemonPlan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
     /// Address for callers and operators.
     pub http: SocketAddr,
-    /// Address for daemons.
+    /// Address for peer daemons.
     pub peer: SocketAddr,
-    /// Its number among the voters, from 1.
+    /// Voter id, from 1, if it is a voter.
     pub voter: Option<u64>,
 }
 
-/// One tenant.
+/// A tenant of the fleet.
 #[derive(Clone, Debug)]
 pub struct TenantPlan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its callers' key.
+    /// API key of its callers.
     pub key: String,
-    /// Its tier.
+    /// Tier.
     pub tier: u8,
-    /// Its share of the load.
+    /// Share of the load, from 0 to 1.
     pub share: f64,
 }
 
-/// One deployment.
+/// A deployment of the fleet.
 #[derive(Clone, Debug)]
 pub struct DeploymentPlan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The model name that callers ask for.
+    /// Name of the model that callers request.
     pub model: String,
-    /// Declared replicas.
+    /// Number of declared replicas.
     pub replicas: usize,
 }
 
-/// A whole fleet.
+/// The layout of a whole fleet.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// Whose.
+    /// Preset.
     pub preset: Preset,
-    /// How large.
+    /// Sizes.
     pub sizes: Sizes,
     /// Daemons.
     pub daemons: Vec<DaemonPlan>,
@@ -148,21 +148,21 @@
     pub deployments: Vec<DeploymentPlan>,
     /// Tenants, largest first.
     pub tenants: Vec<TenantPlan>,
-    /// The plain service's name.
+    /// Name of the plain service.
     pub service: String,
     /// Emulated machines and services.
     pub emulator: FleetConfig,
-    /// Folder of settings, data, logs and ledger.
+    /// Folder for settings, data, logs and the ledger.
     pub folder: PathBuf,
     region: String,
 }
 
-/// Loopback addresses of one run: `127.NETWORK.0.0/16`.
+/// A loopback address of a run, in `127.NETWORK.0.0/16`.
 fn loopback(network: u8, third: u8, fourth: u8, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, network, third, fourth)), port)
 }
 
-/// A loopback network that other runs hardly use.
+/// A loopback network for this process; concurrent runs are unlikely to use the same one.
 pub fn own_network() -> u8 {
     const FIRST: u32 = 16;
     const COUNT: u32 = 200;
@@ -174,9 +174,9 @@
 }
 
 impl Topology {
-    /// Lays a fleet out.
+    /// Creates the layout of a fleet.
     pub fn new(preset: Preset, sizes: Sizes, network: u8, folder: &Path) -> Topology {
-        let names = names(preset);
+        let names = preset_names(preset);
         let host = |index: usize, base: u8| (base + (index / 250) as u8, (index % 250 + 1) as u8);
         let daemons = (0..sizes.daemons)
             .map(|index| {
@@ -243,8 +243,10 @@
         let voters: Vec<Value> = self
             .daemons
             .iter()
-            .filter_map(|one| {
-                one.voter.map(|id| json!({ "id": id, "name": one.name, "peer": one.peer.to_string() }))
+            .filter_map(|daemon| {
+                daemon
+                    .voter
+                    .map(|id| json!({ "id": id, "name": daemon.name, "peer": daemon.peer.to_string() }))
             })
             .collect();
         let mut control = json!({ "voters": voters });
@@ -263,7 +265,7 @@
         serde_saphyr::to_string(&settings).unwrap_or_default()
     }
 
-    /// All resources, in an order in which they can be applied.
+    /// All resources, ordered so that each follows the ones it refers to.
     pub fn resources(&self) -> Vec<Value> {
         let resource = |kind: &str, name: &str, spec: Value| json!({ "apiVersion": "dockwood/v1", "kind": kind, "metadata": { "name": name }, "spec": spec });
         let mut resources = Vec::new();
@@ -282,7 +284,7 @@
             let servers: Vec<Value> = service
                 .servers
                 .iter()
-                .map(|one| json!({ "name": one.name, "address": one.address.to_string(), "zone": one.zone }))
+                .map(|server| json!({ "name": server.name, "address": server.address.to_string(), "zone": server.zone }))
                 .collect();
             resources.push(resource("Service", &service.name, json!({ "servers": servers })));
         }
@@ -302,20 +304,20 @@
         resources
     }
 
-    /// Declared replicas of all deployments.
+    /// Number of declared replicas of all deployments.
     pub fn declared_replicas(&self) -> usize {
         self.deployments.iter().map(|deployment| deployment.replicas).sum()
     }
 }
 
-/// Two deployments, three to one, that leave each domain at least one spare where it can.
-fn deployments(names: &Names, sizes: &Sizes) -> Vec<DeploymentPlan> {
-    const MOST_REPLICAS: usize = 16;
+/// Two deployments, sized three to one. They leave at least one spare machine in each domain where possible.
+fn deployments(names: &PresetNames, sizes: &Sizes) -> Vec<DeploymentPlan> {
+    const MAX_REPLICAS: usize = 16;
     let domains = sizes.servers / sizes.domain_machines.max(1);
     let per_domain = sizes.domain_machines.saturating_sub(1) / sizes.machines_per_replica.max(1);
     let total = (domains * per_domain).max(1);
-    let large = (total * 3 / 4).clamp(1, MOST_REPLICAS);
-    let small = (total - large.min(total)).min(MOST_REPLICAS);
+    let large = (total * 3 / 4).clamp(1, MAX_REPLICAS);
+    let small = (total - large.min(total)).min(MAX_REPLICAS);
     let plan = |index: usize, replicas: usize| DeploymentPlan {
         name: names.deployments[index].to_string(),
         model: format!("{}-{}", names.model, names.deployments[index]),
@@ -325,22 +327,22 @@
     if small > 0 {
         plans.push(plan(1, small));
     }
-    // Above the size of one pool, the same again under other names.
-    let mut left = total.saturating_sub(large + small);
-    while left > 0 {
-        let replicas = left.min(MOST_REPLICAS);
+    // Replicas beyond the size limit of one pool go into further deployments.
+    let mut remaining = total.saturating_sub(large + small);
+    while remaining > 0 {
+        let replicas = remaining.min(MAX_REPLICAS);
         let number = plans.len();
         plans.push(DeploymentPlan {
             name: format!("{}-{number}", names.deployments[0]),
             model: format!("{}-{}-{number}", names.model, names.deployments[0]),
             replicas,
         });
-        left -= replicas;
+        remaining -= replicas;
     }
     plans
 }
 
-/// A few large tenants and many small ones; every third one bought the first tier.
+/// A few large tenants and many small ones; every third one is in tier 0.
 fn tenants(count: usize) -> Vec<TenantPlan> {
     let weights: Vec<f64> = (0..count).map(|index| 1.0 / (index + 1) as f64).collect();
     let total: f64 = weights.iter().sum();
--- a/crates/bench/src/trace.rs
+++ b/crates/bench/src/trace.rs
@@ -1,11 +1,11 @@
-//! Traces: requests with their arrival times, one JSON object a line. docs/TRACES.md describes the format.
+//! Request traces with arrival times, one JSON object per line. docs/TRACES.md describes the format.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// What a request is for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RequestKind {
@@ -15,25 +15,25 @@
     Service,
 }
 
-/// One recorded request.
+/// One request of a trace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct TraceRequest {
-    /// Arrival, in milliseconds from the trace's start.
+    /// Arrival time, in milliseconds from the start of the trace.
     pub at_ms: u64,
-    /// What it is for.
+    /// Kind of request.
     pub kind: RequestKind,
     /// Tenant name.
     pub tenant: String,
-    /// Session, for affinity.
+    /// Session, used for affinity.
     pub session: String,
     /// Model or service name.
     pub target: String,
     /// Prompt, or the body of a service call.
     pub prompt: String,
-    /// Bound of the answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
-    /// Whether it may be run more than once.
+    /// Whether it may be executed more than once.
     pub repeatable: bool,
     /// Whether the answer is streamed.
     pub stream: bool,
@@ -41,14 +41,14 @@
     pub deadline_ms: u64,
 }
 
-/// Reads a trace. Arrivals must not go back in time.
+/// Reads a trace. Arrival times must not decrease.
 pub fn read_trace(path: &Path) -> io::Result<Vec<TraceRequest>> {
     let mut requests: Vec<TraceRequest> = Vec::new();
     for (number, line) in BufReader::new(File::open(path)?).lines().enumerate() {
         let at = |message: String| io::Error::other(format!("{}:{}: {message}", path.display(), number + 1));
         let request: TraceRequest = serde_json::from_str(&line?).map_err(|error| at(error.to_string()))?;
         if requests.last().is_some_and(|last| last.at_ms > request.at_ms) {
-            return Err(at("arrives before the request above it".to_string()));
+            return Err(at("arrival time is earlier than that of the previous request".to_string()));
         }
         requests.push(request);
     }
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,4 +1,4 @@
-//! Generated traces of both users' work: dispatch rush, shift close, market close.
+//! Generates traces of the load patterns of both presets: dispatch rush, shift close and market close.
 
 use crate::topology::{Preset, Topology};
 use crate::trace::{RequestKind, TraceRequest};
@@ -6,45 +6,45 @@
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Length of a tenant's shared prompt prefix, in repetitions of its sentence.
+/// Number of times the instruction is repeated in a tenant's shared prompt prefix.
 const PREFIX_SENTENCES: usize = 16;
-/// Sessions of each tenant.
+/// Number of sessions per tenant.
 const SESSIONS: u32 = 12;
 
-/// A kind of load over time.
+/// How the request rate varies over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Shape {
-    /// Short drafts in bursts: a rush of calls every few seconds.
+pub enum LoadShape {
+    /// Short drafts in bursts, one burst every few seconds.
     DispatchRush,
-    /// Long summaries, all at once towards the end.
+    /// Long summaries at a rate that increases towards the end.
     ShiftClose,
-    /// Order checks that grow denser until the close.
+    /// Order checks at a rate that increases quadratically until the market closes.
     MarketClose,
-    /// The same rate throughout.
+    /// A constant rate.
     Steady,
 }
 
-/// What to generate.
+/// Parameters of a generated trace.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Workload {
-    /// Its shape.
-    pub shape: Shape,
-    /// Mean requests a second.
+    /// Rate over time.
+    pub shape: LoadShape,
+    /// Mean rate, in requests per second.
     pub rate: f64,
-    /// Length, in seconds.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// Share of calls of the plain service, in percent.
+    /// Share of plain service calls, in percent.
     #[serde(default = "default_service_percent")]
     pub service_percent: u32,
-    /// Share of requests that must not be run twice, in percent.
+    /// Share of requests that must not be executed twice, in percent.
     #[serde(default = "default_once_percent")]
     pub once_percent: u32,
-    /// Longest wait, in milliseconds.
+    /// Deadline of each request, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Seeds the trace.
+    /// Seed of the random generator.
     #[serde(default = "default_seed")]
     pub seed: u64,
 }
@@ -65,30 +65,30 @@
     1
 }
 
-/// Load relative to the mean at a share of the way through the trace; its mean is about 1.
-fn density(shape: Shape, progress: f64, seconds: f64) -> f64 {
+/// Request rate relative to the mean at a point of the trace, where `progress` runs from 0 to 1. Averages about 1.
+fn relative_rate(shape: LoadShape, progress: f64, seconds: f64) -> f64 {
     match shape {
-        Shape::Steady => 1.0,
-        Shape::DispatchRush => {
-            const BURST_EVERY_SECONDS: f64 = 5.0;
-            let within = (progress * seconds) % BURST_EVERY_SECONDS / BURST_EVERY_SECONDS;
-            if within < 0.3 { 2.0 } else { 0.57 }
+        LoadShape::Steady => 1.0,
+        LoadShape::DispatchRush => {
+            const BURST_INTERVAL_SECONDS: f64 = 5.0;
+            let phase = (progress * seconds) % BURST_INTERVAL_SECONDS / BURST_INTERVAL_SECONDS;
+            if phase < 0.3 { 2.0 } else { 0.57 }
         }
-        Shape::ShiftClose => 0.4 + 1.2 * progress,
-        Shape::MarketClose => 0.25 + 2.25 * progress * progress,
+        LoadShape::ShiftClose => 0.4 + 1.2 * progress,
+        LoadShape::MarketClose => 0.25 + 2.25 * progress * progress,
     }
 }
 
-/// Generates the trace of a workload for a fleet. The same seed gives the same trace.
+/// Generates the trace of a workload for a fleet. Deterministic for a given seed.
 pub fn generate(topology: &Topology, workload: &Workload) -> Vec<TraceRequest> {
     let mut random = StdRng::seed_from_u64(workload.seed);
     let mut requests = Vec::new();
     let mut seconds = 0.0;
     loop {
-        let density = density(workload.shape, seconds / workload.seconds, workload.seconds);
-        // Exponential gaps: arrivals of independent callers.
+        let rate_factor = relative_rate(workload.shape, seconds / workload.seconds, workload.seconds);
+        // Exponential gaps between arrivals model independent callers.
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
-        seconds += -uniform.ln() / (workload.rate * density).max(f64::EPSILON);
+        seconds += -uniform.ln() / (workload.rate * rate_factor).max(f64::EPSILON);
         if seconds >= workload.seconds {
             return requests;
         }
@@ -148,15 +148,15 @@
     topology.tenants[0].name.clone()
 }
 
-/// The tenant's instructions, shared by all its prompts; then the session; then what is new.
-fn prompt(preset: Preset, shape: Shape, tenant: &str, session: &str, number: u64) -> String {
-    let (instruction, new) = match (preset, shape) {
-        (Preset::Unidos, Shape::ShiftClose) => ("Summarise the trips of a driver.", "Trips of the shift"),
+/// A prompt: the tenant's instructions, which all its prompts share as a prefix, the session, and a unique part.
+fn prompt(preset: Preset, shape: LoadShape, tenant: &str, session: &str, number: u64) -> String {
+    let (instruction, subject) = match (preset, shape) {
+        (Preset::Unidos, LoadShape::ShiftClose) => ("Summarise the trips of a driver.", "Trips of the shift"),
         (Preset::Unidos, _) => ("Draft an assignment note and a message to the driver.", "Pickup of a rider"),
         (Preset::Brokerage, _) => {
             ("Check the order, summarise it and propose what to do.", "Order of a client")
         }
     };
     let prefix = format!("[{tenant}] {instruction} ").repeat(PREFIX_SENTENCES);
-    format!("{prefix}Session {session}. {new} {number:016x}.")
+    format!("{prefix}Session {session}. {subject} {number:016x}.")
 }
--- a/crates/bench/tests/common/mod.rs
+++ b/crates/bench/tests/common/mod.rs
@@ -1,32 +1,36 @@
-//! What the tests with real processes share.
+//! Shared by the tests that start real processes.
 
 use std::path::{Path, PathBuf};
 
-/// A folder of a test's own, with settings, logs and data of its processes. It is removed by [`TestFolder::passed`] alone:
-/// what a failed test leaves is what tells why.
+/// The folder of one test, with the settings, logs and data of its processes. It is removed only by
+/// [`TestFolder::remove`], so that the files of a failed test remain for analysis.
 pub struct TestFolder {
     path: PathBuf,
 }
 
-/// A file system in memory, where there is one. These tests judge answers, not disks: on a busy machine a synced write
-/// has taken 12 s, and no voter goes on without its own. What a killed process has written is there in memory too.
+/// An in-memory file system, used if present. These tests check answers, not disks: on a busy machine a synced
+/// write has taken 12 s, and a voter does not proceed until its own write is synced. Data written by a killed
+/// process survives in memory as well.
 const MEMORY_FOLDER: &str = "/dev/shm";
 
 impl TestFolder {
-    /// A new folder, in memory if possible.
+    /// Creates a folder, in memory if possible.
     pub fn new() -> std::io::Result<TestFolder> {
         let path = tempfile::tempdir_in(MEMORY_FOLDER).or_else(|_| tempfile::tempdir())?.keep();
-        println!("settings and logs of the processes are in {}, unless the test passes", path.display());
+        println!(
+            "settings and logs of the processes are in {}; they are removed if the test passes",
+            path.display()
+        );
         Ok(TestFolder { path })
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Removes it.
-    pub fn passed(self) -> std::io::Result<()> {
+    /// Removes the folder, after the test has passed.
+    pub fn remove(self) -> std::io::Result<()> {
         std::fs::remove_dir_all(self.path)
     }
 }
--- a/crates/bench/tests/fatal_requests.rs
+++ b/crates/bench/tests/fatal_requests.rs
@@ -1,5 +1,6 @@
-//! The resource API's callers are as exposed as the gateway's: a chat request that ends the engine that runs it was sent
-//! on until the retry budget was used up, and again with each try of its caller.
+//! Chat requests for declared models must be quarantined like requests of the gateway. Without that, a chat
+//! request that crashes the engine that runs it is retried until the retry budget is used up, and again with each
+//! attempt of its caller.
 
 use dockwood_api::ResultCode;
 use dockwood_bench::fleet::RunningFleet;
@@ -13,14 +14,14 @@
 
 use common::TestFolder;
 
-type Outcome = Result<(), Box<dyn std::error::Error>>;
+type TestResult = Result<(), Box<dyn std::error::Error>>;
 
-const LIMIT: Duration = Duration::from_secs(90);
-/// Engines that may end under a request: those that put it under quarantine where all stand in one zone, and one try
-/// that was on its way.
-const MOST_ENDED: usize = 6;
-/// For how long the caller keeps coming.
-const INSISTS_FOR: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(90);
+/// Maximum number of engines that may crash under a request: those whose crashes lead to its quarantine if all are
+/// in one zone, and one more for an attempt that was in flight.
+const MAX_CRASHED: usize = 6;
+/// How long the caller keeps retrying.
+const RETRY_DURATION: Duration = Duration::from_secs(10);
 
 struct Caller {
     fleet: RunningFleet,
@@ -28,7 +29,7 @@
 }
 
 impl Caller {
-    /// Sends a chat request to a daemon; the result code of a failure, or `None` if it was answered.
+    /// Sends a chat request to a daemon. Returns the result code of a failure, or `None` if it was answered.
     async fn chat(&self, daemon: usize, prompt: &str) -> Option<u64> {
         let address = self.fleet.entry_addresses()[daemon];
         let body = json!({
@@ -36,7 +37,7 @@
             "messages": [{ "role": "user", "content": prompt }],
         });
         let request = self.http.post(format!("http://{address}/v1/chat/completions"));
-        let request = request.bearer_auth(&self.fleet.topology.tenants[0].key).timeout(LIMIT).json(&body);
+        let request = request.bearer_auth(&self.fleet.topology.tenants[0].key).timeout(TIMEOUT).json(&body);
         let answer = request.send().await.unwrap_or_else(|error| panic!("{error}"));
         if answer.status().is_success() {
             return None;
@@ -45,38 +46,38 @@
         body["error"]["code"].as_u64()
     }
 
-    /// Engines that have ended so far.
-    fn ended(&self) -> std::io::Result<usize> {
+    /// Number of engines that have crashed so far.
+    fn crashed(&self) -> std::io::Result<usize> {
         let records = read_ledger(&self.fleet.topology.emulator.ledger)?;
-        let is_end = |record: &&LedgerRecord| matches!(record, LedgerRecord::MachineChanged { change, .. } if change == "ended");
-        Ok(records.iter().filter(is_end).count())
+        let is_crash = |record: &&LedgerRecord| matches!(record, LedgerRecord::MachineChanged { change, .. } if change == "ended");
+        Ok(records.iter().filter(is_crash).count())
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_chat_request_under_which_engines_end_comes_under_quarantine() -> Outcome {
+async fn a_chat_request_under_which_engines_end_comes_under_quarantine() -> TestResult {
     let folder = TestFolder::new()?;
     let sizes = Sizes { daemons: 3, servers: 30, plain_servers: 2, tenants: 3, ..Sizes::default() };
     let topology = Topology::new(Preset::Brokerage, sizes, own_network() + 3, folder.path());
     let fleet = RunningFleet::start(topology).await?;
-    fleet.apply_resources(LIMIT).await?;
+    fleet.apply_resources(TIMEOUT).await?;
     let caller = Caller { fleet, http: Client::new() };
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut code = None;
     let mut daemon = 0;
-    while begun.elapsed() < INSISTS_FOR {
+    while started.elapsed() < RETRY_DURATION {
         code = caller.chat(daemon % 3, FATAL_PROMPT).await;
         daemon += 1;
     }
     assert_eq!(code, Some(u64::from(ResultCode::RequestQuarantined.number())));
-    let ended = caller.ended()?;
-    assert!((3..=MOST_ENDED).contains(&ended), "{ended} engines ended under it");
-    let begun = Instant::now();
+    let crashed = caller.crashed()?;
+    assert!((3..=MAX_CRASHED).contains(&crashed), "{crashed} engines crashed under the request");
+    let started = Instant::now();
     while let Some(code) = caller.chat(0, "a proper prompt").await {
-        assert!(begun.elapsed() < LIMIT, "other requests are refused with {code}");
+        assert!(started.elapsed() < TIMEOUT, "other requests are refused with {code}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     drop(caller);
-    folder.passed()?;
+    folder.remove()?;
     Ok(())
 }
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -1,12 +1,12 @@
-//! Real processes on loopback: the whole path, the resource API, and a planned stop. Limits are generous; what
-//! is judged is judged by the ledger and by answers, not by time.
+//! End-to-end tests with real processes on loopback: load under faults, the resource API, and a planned stop.
+//! Timeouts are generous; results are checked against the ledger and the answers, not against time.
 
 use dockwood_api::caller::{HEADER_IDEMPOTENCY_KEY, HEADER_REPEATABLE};
 use dockwood_bench::experiment::{Experiment, run_experiment};
-use dockwood_bench::fault::{Action, TimedFault};
+use dockwood_bench::fault::{FaultAction, TimedFault};
 use dockwood_bench::fleet::RunningFleet;
 use dockwood_bench::topology::{OPERATOR_TOKEN, Preset, Sizes, Topology, own_network};
-use dockwood_bench::workload::{Shape, Workload};
+use dockwood_bench::workload::{LoadShape, Workload};
 use dockwood_emulator::expected_answer;
 use reqwest::{Client, Method, StatusCode};
 use serde_json::{Value, json};
@@ -16,23 +16,23 @@
 
 use common::TestFolder;
 
-type Outcome = Result<(), Box<dyn std::error::Error>>;
+type TestResult = Result<(), Box<dyn std::error::Error>>;
 
-const LIMIT: Duration = Duration::from_secs(90);
+const TIMEOUT: Duration = Duration::from_secs(90);
 
-fn small() -> Sizes {
+fn small_sizes() -> Sizes {
     Sizes { daemons: 3, servers: 10, plain_servers: 2, tenants: 3, ..Sizes::default() }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_fleet_keeps_its_promises_while_machines_and_daemons_are_lost() -> Outcome {
+async fn a_fleet_keeps_its_guarantees_while_machines_and_daemons_fail() -> TestResult {
     let folder = TestFolder::new()?;
     let experiment = Experiment {
         name: "test".to_string(),
         preset: Preset::Brokerage,
-        sizes: small(),
+        sizes: small_sizes(),
         workload: Workload {
-            shape: Shape::Steady,
+            shape: LoadShape::Steady,
             rate: 20.0,
             seconds: 6.0,
             service_percent: 20,
@@ -43,24 +43,24 @@
         faults: vec![
             TimedFault {
                 at_ms: 1_500,
-                action: Action::Machine {
+                action: FaultAction::Machine {
                     name: "head-of:order-checks".to_string(),
                     change: "kill".to_string(),
                 },
             },
-            TimedFault { at_ms: 3_000, action: Action::KillDaemon { name: "leader".to_string() } },
+            TimedFault { at_ms: 3_000, action: FaultAction::KillDaemon { name: "leader".to_string() } },
         ],
     };
     let summary = run_experiment(&experiment, None, folder.path()).await?.summary;
-    assert!(summary.counts.promises_kept(), "{:?}", summary.counts);
+    assert!(summary.counts.guarantees_hold(), "{:?}", summary.counts);
     assert!(summary.counts.whole * 10 >= summary.counts.requests * 8, "{:?}", summary.counts);
     assert!(summary.process_faults.is_empty(), "{:?}", summary.process_faults);
     assert!(folder.path().join("report.html").exists() && folder.path().join("summary.json").exists());
-    folder.passed()?;
+    folder.remove()?;
     Ok(())
 }
 
-/// One fleet for all questions to its API.
+/// A fleet that is shared by all checks of its API.
 struct Api {
     fleet: RunningFleet,
     http: Client,
@@ -93,7 +93,7 @@
     }
 
     async fn answer(request: reqwest::RequestBuilder) -> Result<Answer, reqwest::Error> {
-        let response = request.timeout(LIMIT).send().await?;
+        let response = request.timeout(TIMEOUT).send().await?;
         let code =
             response.headers().get("dockwood-result-code").and_then(|code| code.to_str().ok()?.parse().ok());
         let status = response.status();
@@ -128,29 +128,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_apis_answer_as_documented() -> Outcome {
+async fn the_apis_answer_as_documented() -> TestResult {
     let folder = TestFolder::new()?;
-    let topology = Topology::new(Preset::Unidos, small(), own_network() + 1, folder.path());
+    let topology = Topology::new(Preset::Unidos, small_sizes(), own_network() + 1, folder.path());
     let fleet = RunningFleet::start(topology).await?;
-    fleet.apply_resources(LIMIT).await?;
+    fleet.apply_resources(TIMEOUT).await?;
     let api = Api { fleet, http: Client::new() };
     changes_are_made_once(&api).await?;
-    refusals_are_numbered(&api).await?;
-    watches_follow(&api).await?;
+    errors_have_result_codes(&api).await?;
+    watches_report_changes(&api).await?;
     requests_are_answered_once(&api).await?;
-    rolling_stop_cuts_nothing(api).await?;
-    folder.passed()?;
+    planned_stop_aborts_no_request(api).await?;
+    folder.remove()?;
     Ok(())
 }
 
-async fn changes_are_made_once(api: &Api) -> Outcome {
+async fn changes_are_made_once(api: &Api) -> TestResult {
     let first = api.operator(0, Method::POST, "tenants", "id-1", tenant("x", 0)).await?;
     assert_eq!((first.status, first.code), (StatusCode::CREATED, Some(1001)));
     let again = api.operator(1, Method::POST, "tenants", "id-1", tenant("x", 0)).await?;
     assert_eq!(
         (again.status, again.code),
         (StatusCode::CREATED, Some(1002)),
-        "the same answer through another daemon"
+        "another daemon returns the same answer"
     );
     assert_eq!(again.body["metadata"], first.body["metadata"]);
     let reused = api.operator(0, Method::POST, "tenants", "id-1", tenant("x", 1)).await?;
@@ -167,11 +167,11 @@
     assert_eq!(
         (lost.code, &lost.body["error"]["current"]["spec"]["tier"]),
         (Some(4005), &json!(2)),
-        "the winner is shown"
+        "the conflicting resource is returned"
     );
 
     let read = api.get("tenants/x").await?;
-    assert!(!read.body.to_string().contains("key-of-x"), "secrets don't appear: {}", read.body);
+    assert!(!read.body.to_string().contains("key-of-x"), "secrets must not appear: {}", read.body);
     let dry = api.operator(0, Method::DELETE, "tenants/x?dryRun=true", "id-5", Value::Null).await?;
     assert_eq!(dry.status, StatusCode::OK);
     assert_eq!(api.get("tenants/x").await?.status, StatusCode::OK, "a dry run changes nothing");
@@ -180,11 +180,11 @@
         StatusCode::OK
     );
     let gone = api.operator(1, Method::GET, "tenants/x", "", Value::Null).await?;
-    assert_eq!(gone.code, Some(4004), "a daemon sees what it committed");
+    assert_eq!(gone.code, Some(4004), "a daemon reads its own committed change");
     Ok(())
 }
 
-async fn refusals_are_numbered(api: &Api) -> Outcome {
+async fn errors_have_result_codes(api: &Api) -> TestResult {
     let model = &api.fleet.topology.deployments[0].model;
     for (method, path, body, code) in [
         (Method::GET, "nothings", Value::Null, 4002),
@@ -239,7 +239,7 @@
     Ok(())
 }
 
-async fn watches_follow(api: &Api) -> Outcome {
+async fn watches_report_changes(api: &Api) -> TestResult {
     let list = api.get("tenants").await?;
     let from = list.body["resourceVersion"].as_u64().unwrap_or(0);
     let url =
@@ -248,27 +248,27 @@
     api.operator(0, Method::POST, "tenants", "w-1", tenant("seen", 0)).await?;
     api.operator(1, Method::DELETE, "tenants/seen", "w-2", Value::Null).await?;
     let mut text = String::new();
-    // The deletion of an earlier test's tenant may come first, as it comes into force only now.
-    let is_told = |text: &str| text.lines().any(|line| line.contains("DELETED") && line.contains("seen"));
+    // The deletion of a tenant by an earlier check may be reported first, as it takes effect only now.
+    let is_reported = |text: &str| text.lines().any(|line| line.contains("DELETED") && line.contains("seen"));
     let reading = async {
-        while !is_told(&text) {
+        while !is_reported(&text) {
             match watch.chunk().await {
                 Ok(Some(bytes)) => text.push_str(&String::from_utf8_lossy(&bytes)),
                 _ => break,
             }
         }
     };
-    tokio::time::timeout(LIMIT, reading).await?;
-    assert!(is_told(&text), "{text}");
+    tokio::time::timeout(TIMEOUT, reading).await?;
+    assert!(is_reported(&text), "{text}");
     Ok(())
 }
 
-async fn requests_are_answered_once(api: &Api) -> Outcome {
+async fn requests_are_answered_once(api: &Api) -> TestResult {
     let key = api.fleet.topology.tenants[0].key.clone();
     let expected = |prompt: &str| expected_answer(&format!("user: {prompt}\n"), 20);
     let text =
         |answer: &Answer| answer.body["choices"][0]["message"]["content"].as_str().unwrap_or("").to_string();
-    // The same id through three entries at once, not repeatable: one run, and everybody gets its answer.
+    // A non-repeatable request sent to three entries at once with the same id is executed once, and all get its answer.
     let (a, b, c) = tokio::join!(
         api.chat(0, &key, "once-1", "no", "an order"),
         api.chat(1, &key, "once-1", "no", "an order"),
@@ -285,7 +285,7 @@
     assert_eq!(runs.count(), 1);
     let other = api.chat(1, &key, "once-1", "no", "another order").await?;
     assert_eq!(other.code, Some(2013));
-    // Outcome and answer from any daemon.
+    // The outcome and the answer are available from every daemon.
     for daemon in 0..3 {
         let base = format!("http://{}/v1/requests/once-1", api.fleet.entry_addresses()[daemon]);
         let outcome = Api::answer(api.http.get(&base).bearer_auth(&key)).await?;
@@ -299,12 +299,12 @@
     Ok(())
 }
 
-/// Every daemon but one is stopped as planned, one after another, while requests go on.
-async fn rolling_stop_cuts_nothing(api: Api) -> Outcome {
+/// Stops one daemon as planned while requests continue; none of them may fail.
+async fn planned_stop_aborts_no_request(api: Api) -> TestResult {
     let Api { mut fleet, .. } = api;
     let callers = std::sync::Arc::new(dockwood_bench::caller::Callers::new(&fleet.topology));
     let workload = Workload {
-        shape: Shape::Steady,
+        shape: LoadShape::Steady,
         rate: 10.0,
         seconds: 8.0,
         service_percent: 20,
@@ -315,14 +315,14 @@
     let trace = dockwood_bench::workload::generate(&fleet.topology, &workload);
     let load = tokio::spawn(async move { dockwood_bench::load::send_trace(callers, &trace).await });
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let code = fleet.stop_daemon(2, LIMIT).await?;
+    let code = fleet.stop_daemon(2, TIMEOUT).await?;
     assert_eq!(code, 0);
     let records = load.await?;
-    let bad: Vec<_> = records
+    let not_whole: Vec<_> = records
         .iter()
         .filter(|record| record.result != dockwood_bench::caller_record::CallerResult::Whole)
         .collect();
-    assert!(bad.is_empty(), "{bad:?}");
+    assert!(not_whole.is_empty(), "{not_whole:?}");
     assert_eq!(fleet.stop().await?, Vec::<String>::new());
     Ok(())
 }
--- a/crates/bench/tests/judge.rs
+++ b/crates/bench/tests/judge.rs
@@ -1,21 +1,27 @@
-//! The checker is itself tested: each promise is broken on purpose in a ledger or in a caller's record, and
-//! must be counted, under its own name and no other.
+//! Tests of the checker: each guarantee is violated in a ledger or in a caller's record, and the violation must be
+//! counted under its own name and no other. Also tests the summary, expected outcomes and traces.
 
-use dockwood_bench::caller_record::{CallerRecord, CallerResult, judge_text};
-use dockwood_bench::commands::StatedOutcomes;
-use dockwood_bench::judge::{Frame, judge};
+use dockwood_bench::caller_record::{CallerRecord, CallerResult, classify_answer};
+use dockwood_bench::checker::{RunParameters, check_run};
+use dockwood_bench::commands::ExpectedOutcomes;
 use dockwood_bench::summary::{Counts, percentiles, summarise};
 use dockwood_bench::topology::{Preset, Sizes, Topology};
 use dockwood_bench::trace::{RequestKind, read_trace, write_trace};
-use dockwood_bench::workload::{Shape, Workload, generate};
+use dockwood_bench::workload::{LoadShape, Workload, generate};
 use dockwood_emulator::LedgerRecord;
 use std::path::Path;
 use yare::parameterized;
 
 const START: u64 = 100_000;
 
-fn frame() -> Frame {
-    Frame { start_ms: START, end_ms: START + 10_000, declared_replicas: 1, list_lag_ms: 1_000, machines: 3 }
+fn parameters() -> RunParameters {
+    RunParameters {
+        start_ms: START,
+        end_ms: START + 10_000,
+        declared_replicas: 1,
+        list_lag_ms: 1_000,
+        machines: 3,
+    }
 }
 
 fn caller(result: CallerResult) -> CallerRecord {
@@ -76,7 +82,7 @@
     }
 }
 
-/// Replica `a` of machines `x` and `y` serves from the start; `z` is spare.
+/// A ledger in which replica `a` of machines `x` and `y` serves from the start and `z` is spare.
 fn healthy() -> Vec<LedgerRecord> {
     let members = vec!["x".to_string(), "y".to_string()];
     vec![
@@ -88,31 +94,31 @@
     ]
 }
 
-fn judged(ledger: Vec<LedgerRecord>, caller: CallerRecord, regressions: u64) -> Counts {
-    judge(&ledger, &[caller], &frame(), regressions)
+fn check(ledger: Vec<LedgerRecord>, caller: CallerRecord, regressions: u64) -> Counts {
+    check_run(&ledger, &[caller], &parameters(), regressions)
 }
 
 #[test]
-fn a_run_without_fault_breaks_no_promise() {
-    let counts = judged(healthy(), caller(CallerResult::Whole), 0);
-    assert!(counts.promises_kept(), "{counts:?}");
+fn a_run_without_faults_violates_no_guarantee() {
+    let counts = check(healthy(), caller(CallerResult::Whole), 0);
+    assert!(counts.guarantees_hold(), "{counts:?}");
     assert_eq!((counts.requests, counts.whole), (1, 1));
     assert_eq!(counts.group_downtime_replica_seconds, 0.0);
     assert_eq!(counts.stranded_machine_seconds, 10.0);
 }
 
-fn sabotaged(count: &str) -> Counts {
+fn counts_with_violation(count: &str) -> Counts {
     let mut ledger = healthy();
-    let mut seen = caller(CallerResult::Whole);
+    let mut record = caller(CallerResult::Whole);
     let mut regressions = 0;
     match count {
-        "cut" => seen.result = CallerResult::Cut,
-        "lost" => seen.result = CallerResult::Lost,
-        "mixed" => seen.result = CallerResult::Mixed,
+        "cut" => record.result = CallerResult::Cut,
+        "lost" => record.result = CallerResult::Lost,
+        "mixed" => record.result = CallerResult::Mixed,
         "doubled" => ledger.push(ended(300, 4, 9)),
         "false_not_run" => {
-            seen.result = CallerResult::NotRun;
-            seen.told_not_run_ms = vec![START + 400];
+            record.result = CallerResult::NotRun;
+            record.told_not_run_ms = vec![START + 400];
         }
         "machine_in_two_replicas" => {
             ledger.push(loaded(250, "y", Some("b")));
@@ -123,7 +129,7 @@
         "late_work_after_leaving" => ledger.push(dispatched(9_000, &[], &[("y", 1_000)])),
         other => panic!("{other}"),
     }
-    judged(ledger, seen, regressions)
+    check(ledger, record, regressions)
 }
 
 #[parameterized(
@@ -131,30 +137,30 @@
     two_replicas = { "machine_in_two_replicas" }, missing = { "dispatch_with_missing_machine" },
     regressions = { "revision_regressions" }, leaving = { "late_work_after_leaving" },
 )]
-fn a_broken_promise_is_counted_under_its_own_name(count: &str) {
-    let counts = sabotaged(count);
-    let broken: Vec<&str> =
+fn a_violation_is_counted_under_its_own_name(count: &str) {
+    let counts = counts_with_violation(count);
+    let violated: Vec<&str> =
         counts.must_be_zero().iter().filter(|(_, value)| *value > 0).map(|(name, _)| *name).collect();
-    assert_eq!(broken, [count]);
+    assert_eq!(violated, [count]);
 }
 
 #[test]
-fn what_is_allowed_is_not_counted() {
+fn behaviour_within_the_allowances_is_not_counted() {
     let mut ledger = healthy();
     ledger.push(dispatched(2_000, &[("y", 1_500)], &[("x", 1_000)]));
     ledger.push(ended(2_100, 5, 9));
-    let mut seen = caller(CallerResult::Whole);
-    seen.told_not_run_ms = vec![START + 50];
+    let mut record = caller(CallerResult::Whole);
+    record.told_not_run_ms = vec![START + 50];
     assert!(
-        judged(ledger, seen, 0).promises_kept(),
-        "fresh evidence, a young leaving, a resumed run, an earlier refusal"
+        check(ledger, record, 0).guarantees_hold(),
+        "recent evidence, a machine that started to leave recently, a resumed execution, an earlier refusal"
     );
 }
 
 #[test]
-fn a_service_called_twice_is_doubled() {
-    let mut seen = caller(CallerResult::Whole);
-    (seen.kind, seen.engine_id) = (RequestKind::Service, "s".to_string());
+fn a_non_repeatable_service_call_made_twice_is_counted_as_doubled() {
+    let mut record = caller(CallerResult::Whole);
+    (record.kind, record.engine_id) = (RequestKind::Service, "s".to_string());
     let call = |at| LedgerRecord::ServiceCalled {
         at_ms: START + at,
         request: "s".to_string(),
@@ -162,19 +168,19 @@
         server: "p1".to_string(),
         method: "POST".to_string(),
     };
-    assert_eq!(judged(vec![call(1), call(2)], seen.clone(), 0).doubled, 1);
-    seen.repeatable = true;
-    assert_eq!(judged(vec![call(1), call(2)], seen, 0).doubled, 0);
+    assert_eq!(check(vec![call(1), call(2)], record.clone(), 0).doubled, 1);
+    record.repeatable = true;
+    assert_eq!(check(vec![call(1), call(2)], record, 0).doubled, 0);
 }
 
 #[test]
-fn downtime_and_stranding_follow_the_machines() {
+fn downtime_and_stranded_time_follow_the_machine_states() {
     let mut ledger = healthy();
     ledger.push(changed(4_000, "y", "kill"));
     ledger.push(loaded(6_000, "x", Some("a")));
-    let counts = judged(ledger, caller(CallerResult::Whole), 0);
+    let counts = check(ledger, caller(CallerResult::Whole), 0);
     assert_eq!(counts.group_downtime_replica_seconds, 6.0);
-    // One spare for 4 s; then the spare and the survivor for 6 s.
+    // One spare machine for 4 s, then the spare and the surviving member for 6 s.
     assert_eq!(counts.stranded_machine_seconds, 4.0 + 12.0);
 }
 
@@ -182,12 +188,12 @@
     whole = { "one two", CallerResult::Whole }, cut = { "one", CallerResult::Cut }, empty = { "", CallerResult::Cut },
     other = { "two", CallerResult::Mixed }, longer = { "one two three", CallerResult::Mixed },
 )]
-fn texts_are_told_apart(text: &str, result: CallerResult) {
-    assert_eq!(judge_text(text, "one two"), result);
+fn answers_are_classified(text: &str, result: CallerResult) {
+    assert_eq!(classify_answer(text, "one two"), result);
 }
 
 #[test]
-fn percentiles_are_of_the_samples() {
+fn percentiles_match_the_samples() {
     let all = percentiles((1..=1_000).map(f64::from));
     assert_eq!(all.count, 1_000);
     assert!(
@@ -198,20 +204,20 @@
 }
 
 #[test]
-fn stated_outcomes_that_are_not_met_are_named() {
+fn unmet_expected_outcomes_are_reported() {
     let callers = [caller(CallerResult::Whole), caller(CallerResult::Unknown)];
-    let summary = summarise("x", judge(&[], &callers, &frame(), 0), 1.0, &callers);
-    let stated = StatedOutcomes {
+    let summary = summarise("x", check_run(&[], &callers, &parameters(), 0), 1.0, &callers);
+    let expected = ExpectedOutcomes {
         whole_percent_at_least: Some(60.0),
         unknown_at_most: Some(0),
         first_token_p95_ms_at_most: Some(100.0),
-        ..StatedOutcomes::default()
+        ..ExpectedOutcomes::default()
     };
-    assert_eq!(stated.unmet(&summary).len(), 2);
-    assert_eq!(StatedOutcomes::default().unmet(&summary).len(), 0);
+    assert_eq!(expected.unmet(&summary).len(), 2);
+    assert_eq!(ExpectedOutcomes::default().unmet(&summary).len(), 0);
 }
 
-fn workload(shape: Shape) -> Workload {
+fn workload(shape: LoadShape) -> Workload {
     Workload {
         shape,
         rate: 50.0,
@@ -224,9 +230,9 @@
 }
 
 #[parameterized(
-    rush = { Shape::DispatchRush }, shift = { Shape::ShiftClose }, market = { Shape::MarketClose }, steady = { Shape::Steady },
+    rush = { LoadShape::DispatchRush }, shift = { LoadShape::ShiftClose }, market = { LoadShape::MarketClose }, steady = { LoadShape::Steady },
 )]
-fn a_trace_is_the_same_for_the_same_seed_and_survives_its_file(shape: Shape) {
+fn a_trace_is_deterministic_and_survives_a_file_round_trip(shape: LoadShape) {
     let topology = Topology::new(Preset::Brokerage, Sizes::default(), 1, Path::new("."));
     let trace = generate(&topology, &workload(shape));
     assert_eq!(trace, generate(&topology, &workload(shape)));
@@ -238,9 +244,9 @@
 }
 
 #[test]
-fn a_trace_that_goes_back_in_time_is_refused() {
+fn a_trace_with_decreasing_arrival_times_is_rejected() {
     let topology = Topology::new(Preset::Unidos, Sizes::default(), 1, Path::new("."));
-    let mut trace = generate(&topology, &workload(Shape::Steady));
+    let mut trace = generate(&topology, &workload(LoadShape::Steady));
     trace.reverse();
     let folder = tempfile::tempdir().unwrap_or_else(|error| panic!("{error}"));
     let path = folder.path().join("trace.jsonl");
--- a/crates/bench/tests/log_report.rs
+++ b/crates/bench/tests/log_report.rs
@@ -1,4 +1,4 @@
-//! What the report makes of logs, damaged ones among them.
+//! Tests of the log report, including damaged logs.
 
 use dockwood_bench::log_report::{LogLines, LogReport, html, table};
 use serde_json::json;
@@ -28,10 +28,10 @@
     let mut logs = LogLines::default();
     let text = lines.join("\n");
     logs.read("a.log", text.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
-    LogReport::of(logs)
+    LogReport::new(logs)
 }
 
-fn hour() -> Vec<String> {
+fn sample_log() -> Vec<String> {
     let slow_turn = json!({
         "schema": 1, "atMs": BEGIN + 1_200, "daemon": "m1", "kind": "slowTurn", "tookMs": 80, "work": [], "heldBack": 2,
     });
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn each_second_has_its_figures() {
-    let report = report_of(&hour());
+fn each_second_has_its_statistics() {
+    let report = report_of(&sample_log());
     assert_eq!(report.seconds.iter().map(|second| second.at).collect::<Vec<_>>(), [-2, -1, 0, 1]);
     let [elected, formed, first, second] = report.seconds.as_slice() else { panic!("four seconds") };
     assert_eq!((elected.elections, elected.open), (1, 0));
-    assert_eq!((formed.formed, formed.open), (1, 1), "two members tell of one group");
-    assert_eq!((first.answered, first.refused, first.failed), (5, 2, 0), "lines held back count");
+    assert_eq!((formed.formed, formed.open), (1, 1), "an event logged by two voters counts once");
+    assert_eq!((first.answered, first.refused, first.failed), (5, 2, 0), "suppressed lines count");
     assert_eq!(first.first_event_ms, [150, 250]);
     assert_eq!(first.least_lease_ms, Some(1_798));
     assert_eq!((second.failed, second.left, second.leases_lost), (1, 1, 1));
@@ -68,24 +68,25 @@
 }
 
 #[test]
-fn damaged_and_foreign_lines_are_counted_and_named() {
-    let mut lines = hour();
-    let whole = report_of(&lines).seconds;
+fn damaged_and_foreign_lines_are_counted_and_reported() {
+    let mut lines = sample_log();
+    let undamaged = report_of(&lines).seconds;
     lines.insert(3, "kernel: out of memory".to_string());
     lines.insert(5, request(BEGIN, 1_000, None, 0)[..60].to_string());
     lines.push(json!({ "level": "info" }).to_string());
     lines.push(String::new());
     let report = report_of(&lines);
     assert_eq!((report.logs.damaged, report.logs.foreign), (1, 2));
-    let places: Vec<&str> = report.logs.named.iter().map(|unread| unread.place.as_str()).collect();
+    let places: Vec<&str> =
+        report.logs.skipped_samples.iter().map(|skipped| skipped.place.as_str()).collect();
     assert_eq!(places, ["a.log:4", "a.log:6", "a.log:16"]);
-    assert_eq!(report.seconds, whole, "the other lines are read");
+    assert_eq!(report.seconds, undamaged, "the other lines are still read");
     let page = html(&report);
     assert!(page.contains("a.log:6: damaged"), "{page}");
 }
 
 #[test]
-fn bytes_that_are_no_text_damage_their_line_alone() -> std::io::Result<()> {
+fn invalid_utf8_affects_only_its_own_line() -> std::io::Result<()> {
     let mut bytes = vec![0xff, 0xfe, b'{', b'\n'];
     bytes.extend(request(BEGIN, 1_000, None, 0).into_bytes());
     let mut logs = LogLines::default();
@@ -96,7 +97,7 @@
 
 #[test]
 fn the_page_has_the_plots_and_the_table() {
-    let report = report_of(&hour());
+    let report = report_of(&sample_log());
     let page = html(&report);
     for title in ["Requests that ended", "Time to the first event", "Leases and leaders", "Groups by epoch"] {
         assert!(page.contains(title), "{title}");
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_log_without_requests_begins_with_its_first_line() {
+fn a_log_without_requests_starts_at_its_first_line() {
     let report = report_of(&[event(5_000, "m1", "daemon/m1", "Elected", None)]);
     assert_eq!((report.begins_at_ms, report.seconds.len()), (5_000, 1));
     assert!(html(&report).contains("</pre>"));
--- a/crates/bench/tests/servers_at_rest.rs
+++ b/crates/bench/tests/servers_at_rest.rs
@@ -1,5 +1,6 @@
-//! The resource API's callers meet servers that ask for rest as the gateway's do: a chat request or a service call was sent
-//! to them as if they had said nothing. The same for servers that name a limit, which all daemons together keep.
+//! Chat requests and service calls must respect servers that ask for a pause, as requests of the gateway do.
+//! Without that, they are sent to such servers as before. The same applies to servers that announce a rate limit,
+//! which all daemons together must keep.
 
 use dockwood_api::ResultCode;
 use dockwood_bench::fleet::RunningFleet;
@@ -14,13 +15,14 @@
 
 use common::TestFolder;
 
-type Outcome = Result<(), Box<dyn std::error::Error>>;
+type TestResult = Result<(), Box<dyn std::error::Error>>;
 
-const LIMIT: Duration = Duration::from_secs(90);
-/// Requests that one server may reject during one rest: the one that it asks in, and what was on its way with it.
-const MOST_REJECTED: usize = 2;
-/// Pause between two requests.
-const PAUSE: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(90);
+/// Maximum number of requests that a server may reject during one pause: the one in whose response it asks for the
+/// pause, and one that was in flight at the same time.
+const MAX_REJECTED: usize = 2;
+/// Delay between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Caller {
     fleet: RunningFleet,
@@ -28,13 +30,13 @@
     folder: TestFolder,
 }
 
-/// What came of a request.
+/// Status and result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Answer {
     status: StatusCode,
     /// The result code of a failure.
     code: Option<u64>,
-    /// When to come back, in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     retry_after_s: Option<u64>,
 }
 
@@ -44,7 +46,7 @@
         let sizes = Sizes { daemons: 3, servers: 30, plain_servers: 2, tenants: 3, ..Sizes::default() };
         let topology = Topology::new(Preset::Brokerage, sizes, own_network() + network, folder.path());
         let fleet = RunningFleet::start(topology).await?;
-        fleet.apply_resources(LIMIT).await?;
+        fleet.apply_resources(TIMEOUT).await?;
         Ok(Caller { fleet, http: Client::new(), folder })
     }
 
@@ -61,7 +63,7 @@
         self.ask(self.http.get(self.url(&format!("/services/{service}/status")))).await
     }
 
-    /// All requests go to one daemon: each asks a server for itself.
+    /// All requests go to one daemon, because each daemon learns of a pause from its own requests.
     fn url(&self, path: &str) -> String {
         self.url_at(0, path)
     }
@@ -70,8 +72,9 @@
         format!("http://{}{path}", self.fleet.entry_addresses()[daemon])
     }
 
-    /// Calls of the service at all daemons at once for a while; how many were answered, and refused.
-    async fn call_all(&self, span: Duration) -> Result<(usize, usize), reqwest::Error> {
+    /// Calls the service through all daemons concurrently for a while. Returns the numbers of answered and refused
+    /// calls.
+    async fn call_all_daemons(&self, span: Duration) -> Result<(usize, usize), reqwest::Error> {
         let until = Instant::now() + span;
         let service = &self.fleet.topology.emulator.services[0].name;
         let path = format!("/services/{service}/status");
@@ -84,7 +87,7 @@
                         StatusCode::OK => answered += 1,
                         _ => refused += 1,
                     }
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(REQUEST_INTERVAL).await;
                 }
                 Ok((answered, refused))
             }
@@ -93,8 +96,8 @@
         Ok(counts.iter().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1)))
     }
 
-    /// When a plain server was called, in milliseconds since the Unix epoch.
-    fn called(&self, server: &str) -> std::io::Result<Vec<u64>> {
+    /// Times at which a plain server was called, in milliseconds since the Unix epoch.
+    fn call_times(&self, server: &str) -> std::io::Result<Vec<u64>> {
         let records = read_ledger(&self.fleet.topology.emulator.ledger)?;
         let call = |record: LedgerRecord| match record {
             LedgerRecord::ServiceCalled { server: name, at_ms, .. } if name == server => Some(at_ms),
@@ -104,23 +107,23 @@
     }
 
     async fn ask(&self, request: reqwest::RequestBuilder) -> Result<Answer, reqwest::Error> {
-        let request = request.bearer_auth(&self.fleet.topology.tenants[0].key).timeout(LIMIT);
+        let request = request.bearer_auth(&self.fleet.topology.tenants[0].key).timeout(TIMEOUT);
         let answer = request.send().await?;
         let status = answer.status();
-        let told = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
-        let retry_after_s = told.and_then(|text| text.parse().ok());
+        let header = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
+        let retry_after_s = header.and_then(|text| text.parse().ok());
         let body: serde_json::Value = answer.json().await.unwrap_or_default();
         Ok(Answer { status, code: body["error"]["code"].as_u64(), retry_after_s })
     }
 
-    /// Requests that each server has rejected.
+    /// Number of requests that a server has rejected.
     fn rejected(&self, server: &str) -> std::io::Result<usize> {
         let records = read_ledger(&self.fleet.topology.emulator.ledger)?;
-        let is_of = |record: &&LedgerRecord| matches!(record, LedgerRecord::RequestRejected { server: name, .. } if name == server);
-        Ok(records.iter().filter(is_of).count())
+        let is_by_server = |record: &&LedgerRecord| matches!(record, LedgerRecord::RequestRejected { server: name, .. } if name == server);
+        Ok(records.iter().filter(is_by_server).count())
     }
 
-    /// Heads of the groups of the first deployment's model that were formed.
+    /// Heads of all groups that were formed.
     fn heads(&self) -> std::io::Result<BTreeSet<String>> {
         let records = read_ledger(&self.fleet.topology.emulator.ledger)?;
         let head = |record: LedgerRecord| match record {
@@ -143,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn service_calls_leave_a_server_its_rest_and_are_answered_by_the_other() -> Outcome {
+async fn service_calls_skip_a_paused_server_and_are_answered_by_the_other() -> TestResult {
     let caller = Caller::start(5).await?;
     let servers = caller.plain_servers();
     caller.change([&servers[0]], "rest").await?;
@@ -151,20 +154,20 @@
     while Instant::now() < until {
         let answer = caller.call().await?;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     let rejected = caller.rejected(&servers[0])?;
-    assert!((1..=MOST_REJECTED).contains(&rejected), "{rejected} calls within its rest");
-    caller.folder.passed()?;
+    assert!((1..=MAX_REJECTED).contains(&rejected), "{rejected} calls during its pause");
+    caller.folder.remove()?;
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn service_calls_are_refused_at_once_while_all_servers_rest_or_leave() -> Outcome {
+async fn service_calls_are_refused_immediately_while_all_servers_pause_or_leave() -> TestResult {
     let caller = Caller::start(6).await?;
     let servers = caller.plain_servers();
     caller.change(&servers, "rest").await?;
-    // The first calls teach it; their rejections are passed on.
+    // The daemon learns of the pauses from the first calls, whose rejections it passes on.
     for _ in 0..4 {
         assert_eq!(caller.call().await?.status, StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -175,27 +178,27 @@
         "{refused:?}"
     );
     for server in &servers {
-        assert!(caller.rejected(server)? <= MOST_REJECTED);
+        assert!(caller.rejected(server)? <= MAX_REJECTED);
     }
     caller.change(&servers, "say-leaving").await?;
     tokio::time::sleep(Duration::from_secs(2 * BACKOFF_S)).await;
     let mut answered = 0;
     while caller.call().await?.status == StatusCode::OK {
         answered += 1;
-        assert!(answered <= servers.len(), "each says in its first answer that it leaves");
+        assert!(answered <= servers.len(), "each server announces in its first answer that it is leaving");
     }
     assert_eq!(caller.call().await?.code, Some(u64::from(ResultCode::NoServer.number())));
-    caller.folder.passed()?;
+    caller.folder.remove()?;
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn chat_requests_leave_heads_their_rest() -> Outcome {
+async fn chat_requests_skip_paused_heads() -> TestResult {
     let caller = Caller::start(7).await?;
-    let begun = Instant::now();
+    let started = Instant::now();
     while caller.chat().await?.status != StatusCode::OK {
-        assert!(begun.elapsed() < LIMIT, "chat is never served");
-        tokio::time::sleep(PAUSE).await;
+        assert!(started.elapsed() < TIMEOUT, "chat is never served");
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     let heads = caller.heads()?;
     caller.change(&heads, "rest").await?;
@@ -205,9 +208,9 @@
         let answer = caller.chat().await?;
         assert_ne!(answer.status, StatusCode::OK);
         refused = Some(answer);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    let refused = refused.ok_or("nothing was asked")?;
+    let refused = refused.ok_or("no request was sent")?;
     assert_eq!(refused.code, Some(u64::from(ResultCode::ServersResting.number())), "{refused:?}");
     assert!(
         refused.retry_after_s.is_some_and(|seconds| (1..=2 * BACKOFF_S).contains(&seconds)),
@@ -215,56 +218,58 @@
     );
     for head in &heads {
         let rejected = caller.rejected(head)?;
-        assert!(rejected <= MOST_REJECTED, "{head}: {rejected} requests within its rest");
+        assert!(rejected <= MAX_REJECTED, "{head}: {rejected} requests during its pause");
     }
     caller.change(&heads, "serve").await?;
     tokio::time::sleep(Duration::from_secs(2 * BACKOFF_S)).await;
     let answer = caller.chat().await?;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
-    caller.folder.passed()?;
+    caller.folder.remove()?;
     Ok(())
 }
 
-/// Requests a second that a server takes, and how long callers ask.
-const TAKES: usize = 2;
-const ASKED_FOR: Duration = Duration::from_secs(8);
-/// The server is heard of by all daemons after this long, in milliseconds.
-const HEARD_AFTER_MS: u64 = 1_000;
+/// Rate limit that a server announces, in requests per second.
+const SERVER_LIMIT: usize = 2;
+/// How long callers send requests.
+const LOAD_DURATION: Duration = Duration::from_secs(8);
+/// Time after which all daemons know the limit, in milliseconds.
+const LIMIT_KNOWN_AFTER_MS: u64 = 1_000;
+/// Length of the window in which calls are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn service_calls_of_all_daemons_keep_what_a_server_takes() -> Outcome {
+async fn service_calls_of_all_daemons_keep_the_limit_of_a_server() -> TestResult {
     let caller = Caller::start(8).await?;
     let servers = caller.plain_servers();
-    caller.call_all(Duration::from_millis(300)).await?;
-    caller.change([&servers[0]], &format!("limit-{TAKES}")).await?;
-    let before = caller.called(&servers[0])?.len();
-    let (answered, refused) = caller.call_all(ASKED_FOR).await?;
-    let called = &caller.called(&servers[0])?[before..];
-    let first = called.first().copied().ok_or("it is never called")?;
-    let settled: Vec<u64> = called.iter().copied().filter(|at| *at >= first + HEARD_AFTER_MS).collect();
+    caller.call_all_daemons(Duration::from_millis(300)).await?;
+    caller.change([&servers[0]], &format!("limit-{SERVER_LIMIT}")).await?;
+    let before = caller.call_times(&servers[0])?.len();
+    let (answered, refused) = caller.call_all_daemons(LOAD_DURATION).await?;
+    let called = &caller.call_times(&servers[0])?[before..];
+    let first = called.first().copied().ok_or("the server is never called")?;
+    let settled: Vec<u64> = called.iter().copied().filter(|at| *at >= first + LIMIT_KNOWN_AFTER_MS).collect();
     let most = settled
         .iter()
         .map(|from| settled.iter().filter(|at| (*from..*from + WINDOW_MS).contains(at)).count());
     let most = most.max().unwrap_or(0);
-    assert!(most <= 4 * TAKES + 2, "{most} calls within 4 s");
-    assert!(settled.len() >= 4 * TAKES, "what it takes is not wasted: {}", settled.len());
-    assert!(refused * 20 <= answered, "the other server is there: {answered} answered, {refused} refused");
-    caller.folder.passed()?;
+    assert!(most <= 4 * SERVER_LIMIT + 2, "{most} calls within 4 s");
+    assert!(settled.len() >= 4 * SERVER_LIMIT, "the limit must be used: {}", settled.len());
+    assert!(refused * 20 <= answered, "the other server must answer: {answered} answered, {refused} refused");
+    caller.folder.remove()?;
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn chat_requests_keep_what_heads_take() -> Outcome {
+async fn chat_requests_keep_the_limits_of_heads() -> TestResult {
     let caller = Caller::start(9).await?;
-    let begun = Instant::now();
+    let started = Instant::now();
     while caller.chat().await?.status != StatusCode::OK {
-        assert!(begun.elapsed() < LIMIT, "chat is never served");
-        tokio::time::sleep(PAUSE).await;
+        assert!(started.elapsed() < TIMEOUT, "chat is never served");
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     let heads = caller.heads()?;
     caller.change(&heads, "limit-0.1").await?;
-    let until = Instant::now() + ASKED_FOR / 2;
+    let until = Instant::now() + LOAD_DURATION / 2;
     let (mut answered, mut refused) = (0, None);
     while Instant::now() < until {
         let answer = caller.chat().await?;
@@ -272,13 +277,13 @@
             StatusCode::OK => answered += 1,
             _ => refused = Some(answer),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    // Each head is learnt of by one request, and takes none for ten seconds then.
+    // The limit of each head becomes known with one request, after which the head takes none for ten seconds.
     assert!(answered <= heads.len(), "{answered} answered by {} heads", heads.len());
     let refused = refused.ok_or("nothing was refused")?;
     assert_eq!(refused.code, Some(u64::from(ResultCode::ServersAtLimit.number())), "{refused:?}");
     assert!(refused.retry_after_s.is_some(), "{refused:?}");
-    caller.folder.passed()?;
+    caller.folder.remove()?;
     Ok(())
 }
--- a/crates/dockctl/src/client.rs
+++ b/crates/dockctl/src/client.rs
@@ -111,7 +111,8 @@
         self.call(&call).await.map(|_| ())
     }
 
-    /// Evacuates a zone, or ends its evacuation. There is no change id: the daemon that receives a retry evaluates it anew.
+    /// Evacuates a zone, or ends its evacuation. There is no change id: the daemon that receives a retry evaluates
+    /// it anew.
     pub async fn set_evacuation(&self, zone: &str, evacuated: bool) -> Result<(), CommandError> {
         let path = format!("evacuations/{zone}");
         let method = if evacuated { Method::PUT } else { Method::DELETE };
