--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,8 +1,8 @@
 //! Test bench: runs fleets on loopback, replays traces as load, injects faults, and checks the results against the
 //! emulator's ledger and the callers' own records, never against dockwood's own counters.
 //!
-//! It starts the daemon and the emulator as child processes. It measures what callers and operators see and does not
-//! depend on the internals of the daemon.
+//! As a test tool, it may start the daemon and the emulator as child processes. It measures what callers and
+//! operators see and does not depend on the internals of the daemon.
 
 pub mod caller;
 pub mod caller_record;
