--- a/crates/api/src/event.rs
+++ b/crates/api/src/event.rs
@@ -85,7 +85,7 @@
 
 /// Merges events of several daemons in the order of their timestamps. Changes of the replicated state are
 /// recorded by every voter; only the first record of each is kept.
-pub fn merge(mut events: Vec<Event>) -> Vec<Event> {
+pub fn merge_events(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by(|left, right| (left.stamp, &left.process).cmp(&(right.stamp, &right.process)));
     let mut seen = std::collections::HashSet::new();
     events.retain(|event| match event.cause_revision {
--- a/crates/api/tests/resources.rs
+++ b/crates/api/tests/resources.rs
@@ -2,7 +2,7 @@
 
 use dockwood_api::ResultCode;
 use dockwood_api::digest::{presented_digest, rendezvous_weight, secret_digest};
-use dockwood_api::event::{ClockStamp, Event, Subject, merge};
+use dockwood_api::event::{ClockStamp, Event, Subject, merge_events};
 use dockwood_api::resource::{Kind, Status, is_valid_name, parse_resource, view_of};
 use proptest::prelude::*;
 use std::str::FromStr;
@@ -87,8 +87,12 @@
 
 #[test]
 fn replicated_change_occurs_once_in_merged_timeline() {
-    let merged =
-        merge(vec![event(3, "b", Some(7)), event(2, "a", Some(7)), event(1, "c", None), event(4, "c", None)]);
+    let merged = merge_events(vec![
+        event(3, "b", Some(7)),
+        event(2, "a", Some(7)),
+        event(1, "c", None),
+        event(4, "c", None),
+    ]);
     let order: Vec<&str> = merged.iter().map(|event| event.process.as_str()).collect();
     assert_eq!(order, ["c", "a", "c"]);
 }
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -176,5 +176,5 @@
         let Ok(list) = operator.read_at(*daemon, "events").await else { continue };
         events.extend(serde_json::from_value::<Vec<Event>>(list["items"].clone()).unwrap_or_default());
     }
-    dockwood_api::event::merge(events).iter().map(ToString::to_string).collect()
+    dockwood_api::event::merge_events(events).iter().map(ToString::to_string).collect()
 }
--- a/crates/dockctl/src/commands/events.rs
+++ b/crates/dockctl/src/commands/events.rs
@@ -5,7 +5,7 @@
 use crate::exit::CommandError;
 use crate::output::{Format, print_line, print_value};
 use clap::{Arg, ArgMatches, Command, value_parser};
-use dockwood_api::event::{Event, merge};
+use dockwood_api::event::{Event, merge_events};
 use dockwood_api::resource::{Kind, ResourceView};
 
 pub(super) fn timeline_command() -> Command {
@@ -83,7 +83,7 @@
             Err(_) => eprintln!("{server} does not answer; what only it recorded is missing"),
         }
     }
-    Ok(merge(events))
+    Ok(merge_events(events))
 }
 
 fn print_events(matches: &ArgMatches, events: &[Event]) -> Result<(), CommandError> {
